--- a/packages/limpethollow-policy/src/limpethollow_policy/__init__.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/__init__.py
@@ -1,6 +1,6 @@
-"""The decisions of limpethollow.
+"""Decision logic of limpethollow, free of side effects.
 
-Nothing here starts a thread, opens a socket, reads a clock, sleeps or draws from a global random
-source. The time, the events and the random source come in as arguments; what to do comes out as
-typed actions. The daemon only carries events in and actions out.
+Nothing here starts a thread, opens a socket, reads a clock, sleeps or uses a global random source.
+The current time, the events and the random source are arguments; the decisions are returned as
+typed actions. The daemon delivers the events and executes the actions.
 """
--- a/packages/limpethollow-policy/src/limpethollow_policy/connection/__init__.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/connection/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions that live for one connection to a searcher."""
+"""Decision logic with the lifetime of one connection, to a searcher or a peer instance."""
--- a/packages/limpethollow-policy/src/limpethollow_policy/connection/budgets.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/connection/budgets.py
@@ -1,4 +1,4 @@
-"""How many connections and slots of a searcher one owner instance may use, and which to reuse."""
+"""Per-searcher limits on connections and slots of one instance, and connection reuse."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -11,30 +11,30 @@
 
 
 def connections_per_searcher(searcher: SearcherSpec) -> int:
-    """Return the connections that one instance may open to a searcher.
+    """Return the number of connections that one instance may open to a searcher.
 
-    Instances that see different lists may own the same group at once. With a quarter of the limit
-    each, four of them still fit.
+    Instances with different member lists may own the same group at the same time. Each may use a
+    quarter of the searcher's limit, so four such owners stay within it.
     """
     return max(1, searcher.connections // DISAGREEING_OWNERS)
 
 
 def slots_per_owner(searcher: SearcherSpec, owners: int) -> int:
-    """Return the calls that one active owner may have on their way to a searcher.
+    """Return the number of calls that one active owner may have in flight to a searcher.
 
-    One connection of the budget is left for inventory and cancel calls, which take no slot.
+    One connection is reserved for inventory and cancel calls, which take no slot.
     """
     share = max(1, searcher.slots // owners)
     return max(1, min(share, connections_per_searcher(searcher) - 1))
 
 
 class ConnectionState(StrEnum):
-    """What is known of one connection.
+    """State of one connection.
 
     Attributes:
-        BUSY: A call is on it, or it is being opened for one.
-        IDLE: Its last call got its whole reply.
-        CLOSING: It was closed here, but the searcher may still count it.
+        BUSY: It carries a call, or is being opened for one.
+        IDLE: Its last call received a complete reply.
+        CLOSING: It was closed locally, but the searcher may still count it.
     """
 
     BUSY = "busy"
@@ -44,21 +44,21 @@
 
 @dataclass(slots=True, frozen=True)
 class Reuse:
-    """Send the call on a connection that is open."""
+    """Send the call on an open connection."""
 
     number: int
 
 
 @dataclass(slots=True, frozen=True)
 class Open:
-    """Open a connection under this number."""
+    """Open a new connection, identified by this number."""
 
     number: int
 
 
 @dataclass(slots=True, frozen=True)
 class Full:
-    """Wait for a connection to come back, or for this second; then ask again."""
+    """Wait until a connection is returned or until this monotonic second, then ask again."""
 
     until: float
 
@@ -67,21 +67,21 @@
 class _Connection:
     state: ConnectionState
     control: bool
-    last_good: float
+    last_success: float
     counted_until: float = 0.0
 
 
 class ConnectionBook:
-    """Decides which connection to one searcher a call gets, and which are closed.
+    """Assigns connections to the calls to one searcher, and decides which to close.
 
-    Never more than `limit` connections count at the searcher: one that was closed here goes on
-    counting for `CLOSING_SECONDS`, since the searcher hears of it later. Without that, a burst of
-    timeouts opens new connections while the old ones still count, and the searcher refuses all
-    instances.
+    The searcher never counts more than `limit` connections: one that was closed locally remains
+    counted for `CLOSING_SECONDS`, because the searcher notices the close later. Otherwise a burst
+    of timeouts would open new connections while the searcher still counts the old ones, and it
+    would refuse the connections of all instances.
 
     Args:
-        limit: Connections allowed at once.
-        idle_seconds: Seconds after which an unused connection is closed.
+        limit: Maximum number of simultaneous connections.
+        idle_seconds: Seconds after which an idle connection is closed.
     """
 
     __slots__ = ("_connections", "_idle_seconds", "_next", "limit")
@@ -96,96 +96,96 @@
         return len(self._connections)
 
     def take(self, now: float, *, control: bool = False) -> Reuse | Open | Full:
-        """Decide which connection a call gets.
+        """Choose a connection for a call.
 
         Args:
             now: Monotonic second.
             control: Whether the call is a cancel, an inventory or a look-up. One connection is
-                kept for those, or a cancel would wait for the very call that it shall end.
+                reserved for those; otherwise a cancel would wait for the call that it cancels.
         """
-        self._forget_closed(now)
-        if not control and self._work() >= max(self.limit - 1, 1):
-            return Full(self._room_at(now))
-        idle = [(c.last_good, n) for n, c in self._connections.items() if _is_idle(c)]
+        self._remove_closed(now)
+        if not control and self._busy_call_connections() >= max(self.limit - 1, 1):
+            return Full(self._next_release(now))
+        idle = [(c.last_success, n) for n, c in self._connections.items() if _is_idle(c)]
         if idle:
             number = max(idle)[1]
             self._connections[number].state = ConnectionState.BUSY
             self._connections[number].control = control
             return Reuse(number)
         if len(self._connections) >= self.limit:
-            return Full(self._room_at(now))
+            return Full(self._next_release(now))
         self._next += 1
         self._connections[self._next] = _Connection(ConnectionState.BUSY, control, now)
         return Open(self._next)
 
     def returned(self, number: int, now: float) -> None:
-        """Take a connection back whose call got its whole reply."""
+        """Mark a connection idle after its call received a complete reply."""
         connection = self._connections[number]
         connection.state = ConnectionState.IDLE
         connection.control = False
-        connection.last_good = now
+        connection.last_success = now
 
     def not_opened(self, number: int) -> None:
-        """Forget a connection that the searcher never accepted."""
+        """Remove a connection that could not be established."""
         del self._connections[number]
 
     def closed(self, number: int, now: float) -> None:
-        """Note that a connection was closed here or by the searcher."""
+        """Record that a connection was closed, locally or by the searcher."""
         connection = self._connections[number]
         connection.state = ConnectionState.CLOSING
         connection.counted_until = now + CLOSING_SECONDS
 
     def condemned(self, number: int, started: float, now: float) -> tuple[int, ...]:
-        """Note that a call got no whole reply on a connection, which is closed.
+        """Close a connection whose call received no complete reply.
 
-        What made it silent may have lost track of its siblings too. Those that were good since the
-        call began are proved to work; the others are closed as well, so that one fault costs one
-        call and not one for each kept connection.
+        The same fault may have broken other idle connections to this searcher unnoticed. Those that
+        completed a call since this call started are known to work; the others are closed too, so
+        that one fault costs one call rather than one call for each idle connection.
 
         Returns:
-            The idle siblings to close.
+            The other idle connections to close.
         """
         self.closed(number, now)
-        doubtful = tuple(
-            n for n, c in self._connections.items() if _is_idle(c) and c.last_good <= started
+        unproven = tuple(
+            n for n, c in self._connections.items() if _is_idle(c) and c.last_success <= started
         )
-        for sibling in doubtful:
+        for sibling in unproven:
             self.closed(sibling, now)
-        return doubtful
+        return unproven
 
     def expired(self, now: float) -> tuple[int, ...]:
-        """Return the connections that were idle for too long; they count as closed."""
-        self._forget_closed(now)
-        old = tuple(
+        """Mark the connections that were idle for too long as closed, and return them."""
+        self._remove_closed(now)
+        idle_too_long = tuple(
             n
             for n, c in self._connections.items()
-            if _is_idle(c) and now >= c.last_good + self._idle_seconds
+            if _is_idle(c) and now >= c.last_success + self._idle_seconds
         )
-        for number in old:
+        for number in idle_too_long:
             self.closed(number, now)
-        return old
+        return idle_too_long
 
     def next_expiry(self) -> float | None:
-        """Return when `expired` has something to do, None where nothing is kept."""
+        """Return when `expired` must be called next, None if there is no such time."""
         times = [
-            c.last_good + self._idle_seconds for c in self._connections.values() if _is_idle(c)
+            c.last_success + self._idle_seconds for c in self._connections.values() if _is_idle(c)
         ]
         times += [c.counted_until for c in self._connections.values() if _is_closing(c)]
         return min(times, default=None)
 
-    def _work(self) -> int:
+    def _busy_call_connections(self) -> int:
         busy = (c for c in self._connections.values() if c.state is ConnectionState.BUSY)
         return sum(not c.control for c in busy)
 
-    def _room_at(self, now: float) -> float:
+    def _next_release(self, now: float) -> float:
         times = [c.counted_until for c in self._connections.values() if _is_closing(c)]
         return min(times, default=now + CLOSING_SECONDS)
 
-    def _forget_closed(self, now: float) -> None:
-        gone = [
+    def _remove_closed(self, now: float) -> None:
+        released = [
             n for n, c in self._connections.items() if _is_closing(c) and now >= c.counted_until
         ]
-        for number in gone:
+        for number in released:
             del self._connections[number]
 
 
--- a/packages/limpethollow-policy/src/limpethollow_policy/connection/drains.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/connection/drains.py
@@ -1,15 +1,15 @@
-"""Whether a searcher is leaving: which evidence counts, and what is told to other instances.
+"""Decides whether a searcher is draining, and which changes other instances are notified of.
 
-The order, strongest first:
+The sources, in order of precedence:
 
-1. The service's configuration says so: the operators' intent, as long as it is in force.
-2. The newest word of the searcher itself, heard here or at another instance. What another
-   instance heard comes with its age, so a notice that was held up does not beat a newer reply.
-3. The platform's list says that it is leaving. The list lags, but it may also be first: a reply
-   from before the listing does not count against it. It gives way only where the searcher has
-   visibly left and come back since, or has said for long that it stays.
+1. The service's configuration: the operators' intent, for as long as it is in force.
+2. The searcher's own most recent report, received here or by another instance. Reports forwarded
+   by another instance carry their age, so a delayed notice does not override a newer reply.
+3. The platform's list. It lags, but may also be the first to know: a reply from before the listing
+   does not override it. It is overridden only if the searcher has since been seen to leave and
+   come back, or still reports that it is staying `LIST_BELIEVED_SECONDS` after the listing.
 
-Health and load endpoints are no evidence: they lag and mislead.
+Health and load endpoints are not used: they lag and can be misleading.
 """
 
 from dataclasses import dataclass
@@ -20,11 +20,11 @@
 
 @dataclass(slots=True, frozen=True)
 class DrainWord:
-    """A searcher's word on whether it is leaving.
+    """A searcher's report of whether it is draining.
 
     Attributes:
-        draining: What it said.
-        said_at: Monotonic second here at which it was said.
+        draining: The reported state.
+        said_at: Local monotonic second at which the searcher reported it.
     """
 
     draining: bool
@@ -32,65 +32,65 @@
 
 
 class DrainEvidence:
-    """Joins all evidence on one searcher.
+    """Combines all sources on whether one searcher is draining.
 
     Args:
-        configured: Whether the service's configuration says that it is leaving.
+        configured: Whether the service's configuration marks it as draining.
     """
 
-    __slots__ = ("_listed_at", "_probed_at", "_was_away", "_word", "configured")
+    __slots__ = ("_listed_at", "_probed_at", "_seen_leaving", "_latest", "configured")
 
     def __init__(self, configured: bool) -> None:
         self.configured = configured
-        self._word = DrainWord(False, float("-inf"))
+        self._latest = DrainWord(False, float("-inf"))
         self._listed_at: float | None = None
-        self._was_away = False
+        self._seen_leaving = False
         self._probed_at = float("-inf")
 
     @property
     def word(self) -> DrainWord:
-        """The searcher's newest word."""
-        return self._word
+        """The searcher's most recent report."""
+        return self._latest
 
     def is_leaving(self) -> bool:
-        """Return whether no new work may go to the searcher."""
-        return self.configured or self._word.draining or self._listed_at is not None
+        """Return whether the searcher must get no new work."""
+        return self.configured or self._latest.draining or self._listed_at is not None
 
     def said(self, draining: bool, said_at: float) -> bool:
-        """Take in the searcher's word, from its own reply or a notice.
+        """Process the searcher's report, from its own reply or from another instance's notice.
 
         Returns:
-            Whether the word is news that other instances should hear.
+            Whether the reported state changed, so that other instances should be notified.
         """
-        if said_at < self._word.said_at:
+        if said_at < self._latest.said_at:
             return False
-        is_news = draining != self._word.draining
-        self._word = DrainWord(draining, said_at)
+        changed = draining != self._latest.draining
+        self._latest = DrainWord(draining, said_at)
         if draining:
-            self._was_away = True
-        elif self._listed_at is not None and self._refutes_list(said_at):
+            self._seen_leaving = True
+        elif self._listed_at is not None and self._overrides_list(said_at):
             self._listed_at = None
-        return is_news
+        return changed
 
     def refused(self) -> None:
-        """Take in that the searcher accepts no connection: it may be restarting."""
-        self._was_away = True
+        """Record that the searcher refused a connection: it may be restarting."""
+        self._seen_leaving = True
 
     def listed(self, leaving: bool, now: float) -> None:
-        """Take in the platform's list."""
+        """Process the state in the platform's list."""
         if not leaving:
             self._listed_at = None
         elif self._listed_at is None:
             self._listed_at = now
-            self._was_away = self._word.draining
+            self._seen_leaving = self._latest.draining
 
     def wants_probe(self, now: float) -> bool:
-        """Return whether traffic should ask the searcher if it is back; true once a while."""
+        """Return whether to probe a draining searcher; true at most every `PROBE_SECONDS`."""
         if self.configured or not self.is_leaving() or now < self._probed_at + PROBE_SECONDS:
             return False
         self._probed_at = now
         return True
 
-    def _refutes_list(self, said_at: float) -> bool:
+    def _overrides_list(self, said_at: float) -> bool:
         assert self._listed_at is not None
-        return self._was_away or said_at >= self._listed_at + LIST_BELIEVED_SECONDS
+        return self._seen_leaving or said_at >= self._listed_at + LIST_BELIEVED_SECONDS
--- a/packages/limpethollow-policy/src/limpethollow_policy/connection/links.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/connection/links.py
@@ -1,73 +1,78 @@
-"""Decisions on the links between instances: silent or only slow, and when to dial again."""
+"""Connections between instances: failure detection, reconnects and request limits."""
 
 from random import Random
 
 from limpethollow_policy.process.backoffs import Backoff
 
-_FIRST_PAUSE = 0.05
-_LONGEST_PAUSE = 1.0
+_INITIAL_DELAY = 0.05
+_MAX_DELAY = 1.0
 
 
 class LinkHealth:
-    """Tells a link that went silent from a peer that is slow with one request.
+    """Distinguishes a dead connection to a peer from a single slow request.
 
-    A link over which any frame came after a request was sent works; only that request is slow.
-    Closing it would fail all other requests on it, and make forwarded bookings unknown.
+    If any frame arrived after a request was sent, the connection works and only that request is
+    slow. Closing it would fail all other requests on it and leave the outcome of forwarded
+    bookings unknown.
     """
 
-    __slots__ = ("_heard_at",)
+    __slots__ = ("_last_frame_at",)
 
     def __init__(self) -> None:
-        self._heard_at = float("-inf")
+        self._last_frame_at = float("-inf")
 
     def heard(self, now: float) -> None:
-        """Take in that a frame came."""
-        self._heard_at = now
+        """Record that a frame was received."""
+        self._last_frame_at = now
 
     def is_silent(self, sent_at: float) -> bool:
-        """Return whether nothing came since a request was sent that got no reply in time."""
-        return self._heard_at < sent_at
+        """Return whether no frame was received since a request that timed out was sent.
+
+        Args:
+            sent_at: Monotonic second at which the request was sent.
+        """
+        return self._last_frame_at < sent_at
 
 
 class Dialling:
-    """Decides when a peer may be dialled again.
+    """Limits the rate of connection attempts to a peer by backoff.
 
-    Requests that wait for one failed attempt fail with it, instead of each trying on its own, one
-    after the other, past their own timeouts. Pauses have jitter, so that a peer that comes back is
-    not met by all instances at once.
+    Requests that wait for a failed attempt fail with it. Otherwise each would make its own attempt
+    in turn, past its own timeout. The delays have jitter, so that not all instances reconnect to a
+    recovered peer at the same time.
 
     Args:
-        rng: Source for jitter.
+        rng: Random source for the jitter.
     """
 
     __slots__ = ("_backoff", "_not_before")
 
     def __init__(self, rng: Random) -> None:
-        self._backoff = Backoff(_FIRST_PAUSE, _LONGEST_PAUSE, rng)
+        self._backoff = Backoff(_INITIAL_DELAY, _MAX_DELAY, rng)
         self._not_before = float("-inf")
 
     def wait(self, now: float) -> float:
-        """Return the seconds to wait before the next attempt, 0 where it may be made now."""
+        """Return the seconds to wait before the next attempt, 0 if it may be made now."""
         return max(self._not_before - now, 0.0)
 
     def failed(self, now: float) -> None:
-        """Take in a failed attempt."""
+        """Record a failed attempt."""
         self._not_before = now + self._backoff.failed()
 
     def succeeded(self) -> None:
-        """Take in a link."""
+        """Record that a connection was established."""
         self._backoff.succeeded()
         self._not_before = float("-inf")
 
 
 class OpenRequests:
-    """Bounds the requests of each peer that one instance handles at once.
+    """Limits the number of concurrent requests from each peer.
 
-    One peer whose requests are slow would otherwise take every thread, and the requests of all
-    others would wait behind them.
+    Otherwise a single peer with slow requests could occupy every thread and delay the requests of
+    all other peers.
 
     Args:
-        limit: Requests of one peer at once.
+        limit: Maximum number of concurrent requests from one peer.
     """
 
     __slots__ = ("_limit", "_open")
@@ -78,18 +83,18 @@
 
     @property
     def total(self) -> int:
-        """Requests of all peers that are open."""
+        """Number of requests in progress from all peers."""
         return sum(self._open.values())
 
     def begin(self, peer: str) -> bool:
-        """Take in a request; false where the peer has too many open."""
+        """Start a request; return False if the peer has reached its limit."""
         if self._open.get(peer, 0) >= self._limit:
             return False
         self._open[peer] = self._open.get(peer, 0) + 1
         return True
 
     def end(self, peer: str) -> None:
-        """Take in that a request was answered."""
+        """Record that a request was answered."""
         self._open[peer] -= 1
         if not self._open[peer]:
             del self._open[peer]
--- a/packages/limpethollow-policy/src/limpethollow_policy/request/__init__.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/request/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions that live for one request."""
+"""Decision logic with the lifetime of one request."""
--- a/packages/limpethollow-policy/src/limpethollow_policy/request/booking_events.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/request/booking_events.py
@@ -1,4 +1,4 @@
-"""What the run of a booking is told and what it asks to be done."""
+"""Events and actions of a booking run."""
 
 from dataclasses import dataclass
 
@@ -8,12 +8,12 @@
 
 @dataclass(slots=True, frozen=True)
 class SlotGranted:
-    """The group gave the booking a slot.
+    """The group granted the booking a slot.
 
     Attributes:
-        attempt: Which wish it answers.
-        searcher_id: The searcher.
-        placement: Digest of the searchers that the group was made from.
+        attempt: Number of the slot request that it answers.
+        searcher_id: Searcher that the slot belongs to.
+        placement: Digest of the searchers that the group was built from.
     """
 
     attempt: int
@@ -23,12 +23,12 @@
 
 @dataclass(slots=True, frozen=True)
 class SlotDenied:
-    """The group gave no slot; the wish is withdrawn.
+    """The group denied the slot request, which is no longer pending.
 
     Attributes:
-        attempt: Which wish it answers.
-        reason: Code of the error.
-        retry_after: Seconds after which another booking makes sense.
+        attempt: Number of the slot request that it answers.
+        reason: Error code.
+        retry_after: Seconds after which the booking may be tried again.
     """
 
     attempt: int
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DispatchAnswered:
-    """The searcher replied to the dispatch."""
+    """The searcher replied to a dispatch."""
 
     attempt: int
     reply: SearcherBookingReply
@@ -46,12 +46,12 @@
 
 @dataclass(slots=True, frozen=True)
 class DispatchFailed:
-    """The dispatch gave no reply that can be used.
+    """A dispatch produced no usable reply.
 
     Attributes:
-        attempt: Which dispatch.
-        failure: How it failed; a few kinds prove that it was not run.
-        retry_after: Seconds after which the searcher wants to be tried again.
+        attempt: Number of the dispatch.
+        failure: Kind of failure; some kinds prove that the booking was not run.
+        retry_after: Seconds after which the searcher asked to be tried again.
     """
 
     attempt: int
@@ -61,7 +61,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LookUpAnswered:
-    """A searcher said what it knows of the token."""
+    """A searcher reported the state of the token."""
 
     searcher_id: str
     reply: SearcherBookingReply
@@ -69,7 +69,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LookUpFailed:
-    """A searcher gave no word on the token, which proves nothing."""
+    """A searcher did not report the state of the token, which proves nothing."""
 
     searcher_id: str
     failure: Failure
@@ -77,7 +77,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Woken:
-    """The second that the run asked to be woken at has come."""
+    """The time requested by `WakeUp` has come."""
 
 
 BookingEvent = (
@@ -93,12 +93,12 @@
 
 @dataclass(slots=True, frozen=True)
 class TakeSlot:
-    """Ask the group for a slot; answered by `SlotGranted` or `SlotDenied`.
+    """Request a slot from the group; answered by `SlotGranted` or `SlotDenied`.
 
     Attributes:
-        attempt: Number of the wish.
+        attempt: Number of the slot request.
         deadline: Monotonic second at which the caller stops waiting.
-        exclude: Searchers that are proved not to have run it, tried last.
+        exclude: Searchers proved not to have run the booking; they are tried last.
     """
 
     attempt: int
@@ -108,7 +108,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ReleaseSlot:
-    """Give the slot back and say how its dispatch ended."""
+    """Release the slot and report the result of its dispatch."""
 
     attempt: int
     failure: Failure | None = None
@@ -119,7 +119,7 @@
 class Dispatch:
     """Send the booking; answered by `DispatchAnswered` or `DispatchFailed`.
 
-    The run has marked the dispatch before it asks for it, so the mark stands before the first byte.
+    The run records the dispatch before it returns this action, so before the first byte is sent.
     """
 
     attempt: int
@@ -129,11 +129,11 @@
 
 @dataclass(slots=True, frozen=True)
 class LookUp:
-    """Ask a searcher for its word; answered by `LookUpAnswered` or `LookUpFailed`.
+    """Ask a searcher for the state of the token; answered by `LookUpAnswered` or `LookUpFailed`.
 
     Attributes:
-        searcher_id: Whom to ask.
-        void: Whether the searcher shall refuse the token for ever if it never started it.
+        searcher_id: Searcher to ask.
+        void: Whether the searcher must reject the token permanently if it has not started it.
     """
 
     searcher_id: str
@@ -142,21 +142,21 @@
 
 @dataclass(slots=True, frozen=True)
 class WakeUp:
-    """Send `Woken` at this monotonic second."""
+    """Deliver `Woken` at this monotonic second."""
 
     when: float
 
 
 @dataclass(slots=True, frozen=True)
 class Tell:
-    """Tell all who wait what is known now; the run may go on."""
+    """Notify all waiting callers of the current outcome; the run may continue."""
 
     outcome: BookingOutcome
 
 
 @dataclass(slots=True, frozen=True)
 class Stop:
-    """Drop the run: its outcome stays lost, and is asked of the searchers from now on."""
+    """Discard the run with its outcome unknown; from now on only the searchers are asked for it."""
 
 
 BookingAction = TakeSlot | ReleaseSlot | Dispatch | LookUp | WakeUp | Tell | Stop | Count
--- a/packages/limpethollow-policy/src/limpethollow_policy/request/booking_placements.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/request/booking_placements.py
@@ -1,4 +1,4 @@
-"""Which searchers a booking token may be dispatched to."""
+"""Placements: the sets of searchers that booking tokens may be dispatched to."""
 
 from collections import OrderedDict
 from hashlib import blake2b
@@ -8,15 +8,15 @@
 from limpethollow_wire.services import SearcherSpec, ServiceRecord, ServiceSpec
 
 _DIGEST_BYTES = 5
-_KEPT_PER_SERVICE = 4
+_MAX_KEPT_PER_SERVICE = 4
 
 
 def placement_of(spec: ServiceSpec) -> str:
-    """Return a digest of a service's searchers: their ids, addresses and shards.
+    """Return a digest of a service's partition epoch and its searchers' ids, addresses and shards.
 
-    A token carries the digest that was in force when it was issued, and is dispatched to searchers
-    of that placement only. So whoever voids a token there knows that it asked every searcher that
-    could ever run it, whenever a searcher joins.
+    A token carries the digest that was in force when it was issued, and is dispatched only to
+    searchers of that placement. Voiding a token at all of them therefore covers every searcher that
+    could ever run it, even if searchers are added later.
     """
     searchers = sorted((s.id, s.address, sorted(s.shards)) for s in spec.searchers)
     data = msgspec.json.encode((spec.epoch, searchers))
@@ -24,9 +24,10 @@
 
 
 class Placements:
-    """Remembers the last few placements of every service.
+    """Keeps the most recent placements of every service.
 
-    A token that was issued shortly before a searcher joined can be resolved after it has joined.
+    A token that was issued shortly before a searcher was added can thus still be resolved
+    afterwards.
     """
 
     __slots__ = ("_current", "_kept")
@@ -36,13 +37,13 @@
         self._current: dict[str, tuple[int, str]] = {}
 
     def applied(self, records: tuple[ServiceRecord, ...]) -> None:
-        """Take in records that came into force."""
+        """Process records that came into force."""
         for record in records:
             if record.spec is not None:
                 self.placement(record)
 
     def placement(self, record: ServiceRecord) -> str:
-        """Return the placement of a record, which is remembered from now on."""
+        """Return the placement of a record, and keep it for later lookups."""
         version, placement = self._current.get(record.name, (0, ""))
         if version != record.version:
             assert record.spec is not None
@@ -52,7 +53,7 @@
         return placement
 
     def holders(self, service: str, placement: str, shard: int) -> tuple[SearcherSpec, ...]:
-        """Return all searchers that may get a token, empty where the placement is not known."""
+        """Return all searchers that may run a token; empty if the placement is unknown."""
         searchers = self._kept.get(service, OrderedDict()).get(placement, ())
         return tuple(searcher for searcher in searchers if shard in searcher.shards)
 
@@ -60,5 +61,5 @@
         kept = self._kept.setdefault(spec.name, OrderedDict())
         kept[placement] = spec.searchers
         kept.move_to_end(placement)
-        while len(kept) > _KEPT_PER_SERVICE:
+        while len(kept) > _MAX_KEPT_PER_SERVICE:
             kept.popitem(last=False)
--- a/packages/limpethollow-policy/src/limpethollow_policy/request/bookings.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/request/bookings.py
@@ -1,4 +1,4 @@
-"""The ledger of bookings that one run of an instance may dispatch."""
+"""Ledger of the booking tokens that one process of an instance may dispatch."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -18,18 +18,18 @@
 
 
 class Verdict(StrEnum):
-    """What to do with a token that arrives.
+    """How to handle an incoming token.
 
     Attributes:
         FORWARD: The token names another instance.
-        OLD_RUN: The token names an earlier run of this instance, which may have dispatched it.
-        FORGOTTEN: Its entry may have been dropped; only searchers can tell what became of it.
+        OLD_RUN: The token names an earlier process of this instance, which may have dispatched it.
+        FORGOTTEN: Its entry may have been dropped; only the searchers know its outcome.
         DISPATCH: The token is new here; this instance may dispatch it.
-        KNOWN: The token was seen before; answer with what is known.
-        EXPIRED: It was never seen, and its issue period is over for good: never run.
-        FULL: The ledger has no room; the token will never be run.
-        LEAVING: The instance is leaving and takes no new token; this one will never be run.
-        VOIDED: It was never seen, and a look-up closed it for good: never run.
+        KNOWN: The token was seen before; answer with the known outcome.
+        EXPIRED: It was never seen, and its issue period is closed: it will never be run.
+        FULL: The ledger is full; the token will never be run.
+        LEAVING: The instance is shutting down and takes no new token; it will never be run.
+        VOIDED: It was never seen, and a look-up voided it: it will never be run.
     """
 
     FORWARD = "forward"
@@ -48,14 +48,14 @@
 
 @dataclass(slots=True)
 class LedgerEntry:
-    """What this run remembers of one token.
+    """Ledger entry of one token.
 
     Attributes:
         owner: Digest of the service and the firm.
-        fingerprint: Digest of the whole booking, empty where only a look-up was seen.
-        run: The run, None once it is settled, or where a look-up closed the token.
-        outcome: What is known, where there is no run.
-        bytes: What the entry is charged for.
+        fingerprint: Digest of the whole booking, empty if only a look-up was seen.
+        run: The run, None once it is settled, or if a look-up voided the token.
+        outcome: The outcome, valid if there is no run.
+        bytes: Memory accounted for the entry.
     """
 
     owner: bytes
@@ -66,24 +66,24 @@
 
     @property
     def known(self) -> BookingOutcome:
-        """What is known now."""
+        """The current outcome."""
         return self.run.outcome if self.run else self.outcome
 
 
 class BookingLedger:
-    """Lets every token begin at most one run, and remembers it for as long as it could begin one.
+    """Starts at most one run for each token, and keeps its entry for as long as one could start.
 
-    Tokens carry the period in which they were issued. Unseen ones are accepted in the current and
-    the previous period only; entries are kept for longer than that. If an entry were dropped
-    while its token is accepted, a repeated request would run a second time. When memory is full,
-    all periods up to now are closed: a refused token can never be accepted later, so its caller
-    may safely book anew.
+    Tokens carry the period in which they were issued. Unseen tokens are accepted only in the
+    current and the previous period; entries are kept for longer. If an entry were dropped while its
+    token is still accepted, a repeated request would run a second time. When memory is full, all
+    periods up to the current one are closed: a rejected token is never accepted later, so its
+    caller may safely book again with a new token.
 
     Args:
         instance: Id of this instance.
-        incarnation: This run of it.
-        started: Monotonic second at which this run began.
-        max_bytes: Bound on memory.
+        incarnation: Id of this process of the instance.
+        started: Monotonic second at which this process started.
+        max_bytes: Maximum memory for entries.
     """
 
     __slots__ = (
@@ -116,11 +116,11 @@
 
     @property
     def bytes(self) -> int:
-        """Memory that the entries are charged for."""
+        """Memory accounted for all entries."""
         return self._bytes
 
     def leave(self) -> None:
-        """Take no unseen token from now on, for good."""
+        """Permanently stop accepting unseen tokens."""
         self._leaving = True
 
     def offer(
@@ -131,19 +131,19 @@
         deadline: float,
         now: float,
     ) -> Verdict:
-        """Decide what to do with a booking; `DISPATCH` is given once for a token.
+        """Decide how to handle a booking; `DISPATCH` is returned at most once for each token.
 
         Raises:
-            TokenReused: The token belongs to another booking.
-            BadRequest: The token is of a period that has not begun.
+            TokenReused: The token was used for another booking.
+            BadRequest: The token's issue period has not started yet.
         """
-        verdict = self._place(token, owner, now)
+        verdict = self._decide(token, owner, now)
         entry = self.entry(token)
         if entry is not None and entry.fingerprint not in (b"", fingerprint):
-            raise TokenReused("The token belongs to another booking; this one was not run.")
+            raise TokenReused("The token was used for another booking; this request was not run.")
         if verdict is not Verdict.DISPATCH:
             return verdict
-        if not self._has_room(token, now):
+        if not self._make_room(token, now):
             return Verdict.FULL
         until = now + self.seconds_kept(token, now)
         run = BookingRun(token, deadline, until)
@@ -151,32 +151,32 @@
         return Verdict.DISPATCH
 
     def look_up(self, token: BookingToken, owner: bytes, now: float) -> Verdict:
-        """Decide what to say of a token that a caller asks about.
+        """Decide how to answer a caller's look-up of a token.
 
-        An unseen token is closed for good, so that the answer is final: the booking may be on its
-        way still, and must not run after its caller was told that it did not.
+        An unseen token is voided, so that the answer is final: the booking request may still be in
+        transit, and must not run after its caller was told that it did not run.
 
         Raises:
-            TokenReused: The token belongs to another booking.
-            BadRequest: The token is of a period that has not begun.
+            TokenReused: The token was used for another booking.
+            BadRequest: The token's issue period has not started yet.
         """
-        verdict = self._place(token, owner, now)
+        verdict = self._decide(token, owner, now)
         if verdict is not Verdict.DISPATCH:
             return verdict
-        if not self._has_room(token, now):
+        if not self._make_room(token, now):
             return Verdict.FULL
         outcome = never_run(token, Verdict.VOIDED)
         self._add(token, LedgerEntry(owner, b"", None, outcome))
         return Verdict.VOIDED
 
     def entry(self, token: BookingToken) -> LedgerEntry | None:
-        """Return what is remembered of a token."""
+        """Return the entry of a token, None if there is none."""
         if (token.instance, token.incarnation) != (self._instance, self._incarnation):
             return None
         return self._periods.get(token.period, {}).get(str(token))
 
     def settle(self, token: BookingToken) -> None:
-        """Drop the run of a token whose outcome is final, and keep the outcome."""
+        """Replace the run of a token by its outcome, if that is final."""
         entry = self.entry(token)
         if entry is None or entry.run is None or not entry.run.outcome.state.is_final:
             return
@@ -190,49 +190,49 @@
         self._bytes += size
 
     def retry_after(self, now: float) -> float:
-        """Return the seconds until a period begins whose tokens may find room."""
+        """Return the seconds until the next period, whose tokens may be accepted again."""
         return seconds_to_next(now - self._started)
 
     def seconds_kept(self, token: BookingToken, now: float) -> float:
-        """Return the seconds for which an entry of this token is kept where memory allows."""
+        """Return how many seconds the entry of this token is kept, if memory allows."""
         periods = token.period + KEPT_PERIODS - period_at(now - self._started)
         return max(0.0, self.retry_after(now) + (periods - 1) * PERIOD_SECONDS)
 
-    def _place(self, token: BookingToken, owner: bytes, now: float) -> Verdict:
+    def _decide(self, token: BookingToken, owner: bytes, now: float) -> Verdict:
         if token.instance != self._instance:
             return Verdict.FORWARD
         if token.incarnation != self._incarnation:
             return Verdict.OLD_RUN
-        self._drop_old(now)
+        self._expire_periods(now)
         entry = self.entry(token)
         if entry is not None and entry.owner != owner:
-            raise TokenReused("The token belongs to a booking of another service or firm.")
+            raise TokenReused("The token was used for a booking of another service or firm.")
         if entry is not None:
             return Verdict.KNOWN
-        return self._place_unseen(token, now)
+        return self._decide_unseen(token, now)
 
-    def _place_unseen(self, token: BookingToken, now: float) -> Verdict:
+    def _decide_unseen(self, token: BookingToken, now: float) -> Verdict:
         current = period_at(now - self._started)
         if token.period < self._complete_from:
             return Verdict.FORGOTTEN
         if token.period > current + 1:
-            raise BadRequest("The booking token is of an issue period that has not begun.")
+            raise BadRequest("The issue period of the booking token has not started yet.")
         if token.period < self._first_open:
             return Verdict.EXPIRED
         return Verdict.LEAVING if self._leaving else Verdict.DISPATCH
 
-    def _drop_old(self, now: float) -> None:
-        """Close the periods that are over and drop the entries of those long over."""
+    def _expire_periods(self, now: float) -> None:
+        """Close expired periods, and drop the entries older than `KEPT_PERIODS`."""
         current = period_at(now - self._started)
         self._first_open = max(self._first_open, current - ACCEPTED_PERIODS + 1)
         for period in sorted(self._periods):
             if period <= current - KEPT_PERIODS:
-                self._drop(period)
+                self._drop_period(period)
 
-    def _has_room(self, token: BookingToken, now: float) -> bool:
-        """Make room by dropping closed periods, oldest first; close all where that is not enough.
+    def _make_room(self, token: BookingToken, now: float) -> bool:
+        """Drop closed periods, oldest first, until an entry fits; close all periods if none does.
 
-        A closed period's entries are only a convenience: the searchers can still be asked.
+        Entries of closed periods may be dropped since the searchers can still be asked.
         """
         while self._bytes + ENTRY_BYTES > self._max_bytes:
             closed = [period for period in self._periods if period < self._first_open]
@@ -240,10 +240,10 @@
                 current = period_at(now - self._started)
                 self._first_open = max(current, token.period) + 1
                 return False
-            self._drop(min(closed))
+            self._drop_period(min(closed))
         return True
 
-    def _drop(self, period: int) -> None:
+    def _drop_period(self, period: int) -> None:
         dropped = self._periods.pop(period)
         self._bytes -= sum(entry.bytes for entry in dropped.values())
         self._complete_from = max(self._complete_from, period + 1)
@@ -254,5 +254,5 @@
 
 
 def never_run(token: BookingToken, verdict: Verdict) -> BookingOutcome:
-    """Return the outcome of a token that was never run and never will be."""
+    """Return the outcome of a token that has not been run and never will be."""
     return BookingOutcome(str(token), OutcomeState.NOT_RUN, retry_after=0.0, reason=verdict)
--- a/packages/limpethollow-policy/src/limpethollow_policy/request/crashguards.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/request/crashguards.py
@@ -1,4 +1,4 @@
-"""Keeps one request from ending one searcher after the other."""
+"""Prevents a single request from crashing one searcher after another."""
 
 from collections import deque
 from collections.abc import Callable
@@ -7,26 +7,27 @@
 
 
 class CrashGuard:
-    """Decides which sends of a request may go out after connections have ended under it.
+    """Decides which sends of a request are allowed after searchers crashed while processing it.
 
-    A request that ends its searchers looks like one that was on them when something else did. It is
-    told apart by trials: a suspect goes to one searcher at a time. An answer clears it, and what
-    waited goes out; as many ends as make a quarantine stop it.
+    A request that crashes searchers looks like one that was in progress when a searcher crashed for
+    another reason. Trials distinguish them: a suspect request is sent to one searcher at a time. An
+    answer clears it and releases the waiting sends; once the number of crashes reaches the
+    quarantine threshold, it is not sent any more.
 
     Usage:
         if not guard.may_send():
-            guard.wait(resume)              # called when it is this send's turn, or none may go out
+            guard.wait(resume)              # called once it is allowed, or no send is any more
         on_trial = guard.begin(searcher, doubtful=False)
         ...
         guard.lost(searcher)                # or answered(), or ended(searcher)
 
     Args:
         fingerprint: The request's fingerprint.
-        earlier: The evidence from earlier repeats of it, here or at other instances.
-        retrial: Whether it runs in spite of the earlier evidence, until one more searcher ends.
+        earlier: Evidence from earlier attempts of the request, here or at other instances.
+        retrial: Whether it is sent despite the earlier evidence, until one more searcher crashes.
 
     Attributes:
-        evidence: What this run of the request adds to the earlier evidence.
+        evidence: Evidence from this attempt, in addition to the earlier evidence.
         fingerprint: The request's fingerprint.
     """
 
@@ -34,8 +35,8 @@
         "_all_evidence",
         "_answered",
         "_earlier",
-        "_is_sound",
-        "_on_trial",
+        "_is_trial_conclusive",
+        "_trial_searcher",
         "_retrial",
         "_waiting",
         "evidence",
@@ -49,12 +50,12 @@
         *,
         retrial: bool = False,
     ) -> None:
-        # Kept rather than merged when asked for: each send of a search asks for it twice.
+        # Merged in advance, since each send of a search reads it twice.
         self._all_evidence = earlier
         self._answered = False
         self._earlier = earlier
-        self._is_sound = False
-        self._on_trial: str | None = None
+        self._is_trial_conclusive = False
+        self._trial_searcher: str | None = None
         self._retrial = retrial
         self._waiting: deque[Callable[[], None]] = deque()
         self.evidence = CrashEvidence(epoch=earlier.epoch)
@@ -67,9 +68,9 @@
 
     @property
     def standing(self) -> Standing:
-        """Return how far the request is trusted now.
+        """Return how far the request is currently trusted.
 
-        A repeat of one under which any searcher ended is a suspect from its first send on.
+        A repeat of a request that any searcher crashed on is a suspect from its first send on.
         """
         if self._answered:
             return Standing.TRUSTED
@@ -82,66 +83,67 @@
 
     @property
     def is_quarantined(self) -> bool:
-        """Return whether the request may not be sent any more."""
+        """Return whether the request must not be sent any more."""
         return self.standing is Standing.QUARANTINED
 
     @property
     def wants_trials(self) -> bool:
-        """Return whether a searcher's end under a send would count against the request.
+        """Return whether a searcher's crash during a send would count against the request.
 
-        The first end may be that of a kept connection, whose searcher was gone before.
+        The first loss does not count: it may be that of a reused connection, whose searcher was
+        already down.
         """
         return not self._answered and bool(self._all_evidence)
 
     def may_send(self) -> bool:
-        """Return whether another send may go out now."""
+        """Return whether another send is allowed now."""
         standing = self.standing
         return standing is Standing.TRUSTED or (
-            standing is Standing.SUSPECT and self._on_trial is None
+            standing is Standing.SUSPECT and self._trial_searcher is None
         )
 
     def wait(self, resume: Callable[[], None]) -> None:
-        """Call back once a send may go out, or none may any more."""
+        """Register a callback for when a send is allowed, or no send is any more."""
         self._waiting.append(resume)
 
     def begin(self, searcher: str, *, doubtful: bool) -> bool:
-        """Note a send to a searcher; return whether it is a trial, on a connection of its own.
+        """Record a send to a searcher; return whether it is a trial, on a connection of its own.
 
         Args:
-            searcher: The run of the searcher.
-            doubtful: Whether the searcher may be gone already. Its end proves nothing then.
+            searcher: Identifies the process of the searcher.
+            doubtful: Whether the searcher may already be down, so that its loss proves nothing.
         """
-        if self._on_trial is not None or not self.wants_trials:
+        if self._trial_searcher is not None or not self.wants_trials:
             return False
-        self._on_trial = searcher
-        self._is_sound = not doubtful
+        self._trial_searcher = searcher
+        self._is_trial_conclusive = not doubtful
         return True
 
     def lost(self, searcher: str) -> None:
-        """Take in that a connection ended under the request before any byte of a reply."""
-        # A retrial is over with its first end, or each instance would begin one of its own.
-        on_trial = searcher == self._on_trial and (self._is_sound or self._retrial)
+        """Record that the connection was lost after the request and before any byte of a reply."""
+        # A retrial ends with its first loss; otherwise each instance would start one of its own.
+        on_trial = searcher == self._trial_searcher and (self._is_trial_conclusive or self._retrial)
         self.evidence = self.evidence.with_lost(searcher, on_trial=on_trial)
         self._all_evidence = self._earlier.merged(self.evidence)
         self.ended(searcher)
 
     def ended(self, searcher: str) -> None:
-        """Take in that a send ended, or was given up, in a way that proves nothing."""
-        if searcher == self._on_trial:
-            self._on_trial = None
-        self._resume()
+        """Record that a send ended, or was abandoned, in a way that proves nothing."""
+        if searcher == self._trial_searcher:
+            self._trial_searcher = None
+        self._resume_waiting()
 
     def answered(self) -> None:
-        """Take in that a searcher answered the request."""
+        """Record that a searcher answered the request."""
         self._answered = True
-        self._on_trial = None
-        self._resume()
+        self._trial_searcher = None
+        self._resume_waiting()
 
     def close(self) -> None:
-        """Call nobody back any more: the request is over."""
+        """Discard all callbacks, since the request has completed."""
         self._waiting.clear()
 
-    def _resume(self) -> None:
-        """Call back as many sends as may go out; all of them where none may any more."""
+    def _resume_waiting(self) -> None:
+        """Resume as many waiting sends as are allowed; all of them once quarantined."""
         while self._waiting and (self.may_send() or self.is_quarantined):
             self._waiting.popleft()()
--- a/packages/limpethollow-policy/src/limpethollow_policy/request/events.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/request/events.py
@@ -1,4 +1,4 @@
-"""What a group's scheduler is told and what it asks to be done."""
+"""Requests, failures and actions of a group's scheduler."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -12,13 +12,13 @@
     """How a call to a searcher failed.
 
     Attributes:
-        REFUSED: No connection could be made, so no byte was sent.
-        SHED: The searcher said that it did not run the call.
-        TIMEOUT: No reply came in time; the call may have run.
-        LOST: The connection ended before any byte of a reply; the call may have run, and the
-            searcher may have ended under it.
-        BROKEN: The reply was short or can't be used; the call may have run.
-        MISMATCHED: The reply echoed another call's id.
+        REFUSED: No connection could be established, so no byte was sent.
+        SHED: The searcher reported that it did not run the call.
+        TIMEOUT: No reply arrived in time; the call may have run.
+        LOST: The connection was lost before any byte of a reply; the call may have run, and may
+            have crashed the searcher.
+        BROKEN: The reply was truncated or unusable; the call may have run.
+        MISMATCHED: The reply carried the id of another call.
         CANCELLED: The call was cancelled by its own group.
     """
 
@@ -33,22 +33,22 @@
 
 @dataclass(slots=True, frozen=True)
 class Search:
-    """One search as a group sees it.
+    """The part of a search that one group handles.
 
     Attributes:
         id: Unique within the group.
         firm: The caller's firm or club.
-        query: Handed to searchers unread.
-        shards: Shards wanted.
+        query: Passed to searchers without interpretation.
+        shards: Shards to search.
         deadline: Monotonic second at which the caller stops waiting.
-        epoch: Partition epoch of the cut that `shards` were named from.
-        min_version: Lowest index version allowed.
+        epoch: Partition epoch that `shards` refers to.
+        min_version: Lowest acceptable index version.
         pinned: Index version to use, None to let the group choose.
-        floor: Coverage below which there is an error in place of an answer, None for the service's
-            own; 0 for a part of a larger search, which the coordinator judges as a whole.
-        versions_only: Whether only the servable versions are wanted.
-        answer_in: Seconds from arrival until an answer is due that meets the floor, None for the
-            service's own latency objective.
+        floor: Coverage below which the result is an error rather than an answer, None for the
+            service's floor; 0 for a part of a larger search, whose coverage the coordinator checks.
+        versions_only: Whether only the servable versions are requested.
+        answer_in: Seconds from arrival within which an answer that meets the floor is due, None for
+            the service's latency objective.
     """
 
     id: str
@@ -66,7 +66,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StartCall:
-    """Send one call to a searcher; without queries it only asks for the inventory."""
+    """Send a call to a searcher; without queries it only requests the inventory."""
 
     call_id: str
     searcher_id: str
@@ -78,14 +78,14 @@
 
 @dataclass(slots=True, frozen=True)
 class CancelCall:
-    """Tell the searcher that nobody wants this call any more."""
+    """Cancel a call at its searcher because its reply is no longer needed."""
 
     call_id: str
 
 
 @dataclass(slots=True, frozen=True)
 class Complete:
-    """Give a search its answer."""
+    """Complete a search with an answer."""
 
     search_id: str
     answer: GroupAnswer
@@ -93,7 +93,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Servable:
-    """Tell a search that asked for it which index versions its shards can serve."""
+    """Return the servable index versions to a search that requested them."""
 
     search_id: str
     versions: ServableVersions
@@ -101,7 +101,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Refuse:
-    """Give a search a typed error."""
+    """Fail a search with a typed error."""
 
     search_id: str
     error: LimpethollowError
@@ -109,14 +109,14 @@
 
 @dataclass(slots=True, frozen=True)
 class SlotRequest:
-    """A booking that wants a slot of a searcher.
+    """A booking's request for a slot of a searcher.
 
     Attributes:
         id: Unique within the group.
-        shard: Shard that holds what is booked.
+        shard: Shard that holds the booked item.
         deadline: Monotonic second at which the caller stops waiting.
-        exclude: Searchers that are proved not to have run it, tried last.
-        holders: Ids and addresses of the searchers that may be granted, empty for all holders.
+        exclude: Searchers proved not to have run the booking; they are tried last.
+        holders: Ids and addresses of the eligible searchers, empty for all holders of the shard.
     """
 
     id: str
@@ -128,7 +128,7 @@
 
 @dataclass(slots=True, frozen=True)
 class GrantSlot:
-    """Let a booking use one slot of a searcher until it reports back."""
+    """Grant a booking one slot of a searcher until it releases it."""
 
     request_id: str
     searcher_id: str
@@ -136,7 +136,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DenySlot:
-    """Tell a booking that it gets no slot; it was not run."""
+    """Deny a booking a slot; it was not run."""
 
     request_id: str
     error: LimpethollowError
@@ -144,7 +144,7 @@
 
 @dataclass(slots=True, frozen=True)
 class TellDrain:
-    """Tell the other owners of the group that a searcher is leaving, or is back."""
+    """Notify the other owners of the group that a searcher is draining, or is back."""
 
     searcher_id: str
     draining: bool
@@ -159,7 +159,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Count:
-    """Raise a counter, labelled with a reason."""
+    """Increment a counter, labelled with a reason."""
 
     name: str
     reason: str = ""
--- a/packages/limpethollow-policy/src/limpethollow_policy/request/gathers.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/request/gathers.py
@@ -1,4 +1,4 @@
-"""One search inside a group, from its arrival to its answer."""
+"""State of one search within a group, from its arrival to its answer."""
 
 from collections import Counter
 from collections.abc import Set as AbstractSet
@@ -18,7 +18,7 @@
 
 
 class Snapshot(NamedTuple):
-    """What all parts of one answer have in common.
+    """The data state that all parts of an answer must come from.
 
     Attributes:
         epoch: Partition epoch.
@@ -30,7 +30,7 @@
 
 
 def query_key(query: dict[str, Any]) -> str:
-    """Return a name that two queries share exactly if they ask for the same."""
+    """Return a digest of a query; queries with equal content have equal digests."""
     text = msgspec.json.encode(query, order="deterministic")
     return blake2b(text, digest_size=_KEY_BYTES).hexdigest()
 
@@ -38,15 +38,15 @@
 class Gather:
     """Collects the parts of one search at one pinned snapshot.
 
-    Parts are kept only if they carry the pinned epoch and version, so an answer that mixes
-    snapshots can't be built, whatever arrives late, twice or crossed.
+    Only parts with the pinned epoch and version are accepted, so an answer never mixes snapshots,
+    even if replies are late, duplicated or mixed up.
 
     Attributes:
-        idle: Open shards that no call on its way will bring; kept by the sender of calls.
+        idle: Open shards that no call in flight covers; updated by the sender of calls.
 
     Args:
         search: The search.
-        objective: What its service must reach.
+        objective: The objective of its service.
         now: Monotonic second of its arrival.
     """
 
@@ -54,7 +54,7 @@
         "_floor",
         "_open",
         "_parts",
-        "_refusal_floor",
+        "_error_floor",
         "answer_at",
         "arrived",
         "ask_again_at",
@@ -84,70 +84,70 @@
         self.ask_again_at = now
         self.ask_pause = 0.0
         self._floor = objective.coverage_floor
-        self._refusal_floor = objective.coverage_floor if search.floor is None else search.floor
+        self._error_floor = objective.coverage_floor if search.floor is None else search.floor
         self._parts: dict[int, list[Any]] = {}
         self._open = set(search.shards)
         self.idle: set[int] = set()
 
     @property
     def is_pinned(self) -> bool:
-        """Whether the snapshot is chosen."""
+        """Whether a snapshot is chosen."""
         return self.snapshot is not None
 
     @property
     def uncovered(self) -> frozenset[int]:
-        """Shards with no part yet."""
+        """Shards without a part."""
         return self.search.shards - self._parts.keys()
 
     @property
     def open_shards(self) -> AbstractSet[int]:
-        """Shards with no part that were not given up on."""
+        """Shards without a part that have not been given up."""
         return self._open
 
     @property
     def is_finished(self) -> bool:
-        """Whether nothing is left to wait for."""
+        """Whether no open shards are left."""
         return self.is_pinned and not self._open
 
     @property
     def is_lost(self) -> bool:
-        """Whether so many shards were given up on that there can't be an answer any more."""
-        return self._share(len(self.search.shards) - len(self.failures)) < self._refusal_floor
+        """Whether too many shards have been given up for the answer to reach the required floor."""
+        return self._fraction(len(self.search.shards) - len(self.failures)) < self._error_floor
 
     @property
     def meets_floor(self) -> bool:
         """Whether enough shards are covered to answer before the deadline."""
-        return self._share(len(self._parts)) >= self._floor
+        return self._fraction(len(self._parts)) >= self._floor
 
     @property
     def is_answerable(self) -> bool:
-        """Whether enough shards are covered for an answer rather than an error."""
-        return self._share(len(self._parts)) >= self._refusal_floor
+        """Whether enough shards are covered to return an answer rather than an error."""
+        return self._fraction(len(self._parts)) >= self._error_floor
 
     def horizon(self) -> float:
-        """Return the monotonic second until which waiting can still help."""
+        """Return the monotonic second until which to wait for more parts."""
         return self.answer_at if self.meets_floor else self.search.deadline
 
     def pin(self, snapshot: Snapshot) -> None:
-        """Choose the snapshot; all that was collected at another one is dropped."""
+        """Choose the snapshot and discard everything collected so far."""
         self.snapshot = snapshot
         self._clear()
 
     def may_restart(self) -> bool:
-        """Return whether the search may still start over at another snapshot."""
+        """Return whether the search may restart at another snapshot."""
         return self.restarts < MAX_RESTARTS
 
     def unpin(self) -> None:
-        """Drop the snapshot and all that was collected at it."""
+        """Discard the snapshot and everything collected at it."""
         self.restarts += 1
         self.snapshot = None
         self._clear()
 
     def accept(self, shard: int, snapshot: Snapshot, rows: list[Any]) -> bool:
-        """Keep a part if it is wanted and of the pinned snapshot.
+        """Store a part if it is needed and comes from the pinned snapshot.
 
         Returns:
-            Whether it was kept.
+            Whether it was stored.
         """
         if snapshot != self.snapshot or shard in self._parts or shard not in self.search.shards:
             return False
@@ -158,10 +158,10 @@
         return True
 
     def failed(self, shard: int, searcher_id: str) -> bool:
-        """Note that a searcher gave no part for a shard.
+        """Record that a searcher returned no part for a shard.
 
         Returns:
-            Whether another try is allowed.
+            Whether another attempt is allowed.
         """
         self.failed_at.add((shard, searcher_id))
         self.shard_failures[shard] += 1
@@ -174,10 +174,10 @@
         self.idle.discard(shard)
 
     def answer(self, reason: str) -> GroupAnswer:
-        """Build the answer from what has come.
+        """Build the answer from the parts received.
 
         Args:
-            reason: Why shards that were asked for and neither covered nor given up on are missing.
+            reason: Reason reported for missing shards that were asked for and not given up.
         """
         missing = tuple(
             MissingShard(shard, self._missing_reason(shard, reason))
@@ -207,7 +207,7 @@
             return self.failures[shard]
         return reason if shard in self.asked_shards else "no_slot"
 
-    def _share(self, shards: int) -> float:
+    def _fraction(self, shards: int) -> float:
         return shards / len(self.search.shards)
 
 
--- a/packages/limpethollow-policy/src/limpethollow_policy/request/hedges.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/request/hedges.py
@@ -1,4 +1,4 @@
-"""When a call is hedged, and how many hedges are allowed."""
+"""Latency quantiles and budgets for hedges and retries."""
 
 from bisect import bisect_left, insort
 from collections import deque
@@ -11,31 +11,31 @@
     """Quantiles of the most recent call latencies.
 
     Args:
-        size: Calls remembered.
+        size: Number of latencies kept.
     """
 
-    __slots__ = ("_order", "_size", "_sorted")
+    __slots__ = ("_by_arrival", "_size", "_sorted")
 
     def __init__(self, size: int = _WINDOW) -> None:
         self._size = size
-        self._order: deque[float] = deque()
+        self._by_arrival: deque[float] = deque()
         self._sorted: list[float] = []
 
     @property
     def slowest(self) -> float:
-        """The longest latency remembered, 0 where there is none."""
+        """The highest latency in the window, 0 if it is empty."""
         return self._sorted[-1] if self._sorted else 0.0
 
     def add(self, latency: float) -> None:
-        """Remember one call's latency in seconds."""
-        if len(self._order) == self._size:
-            oldest = self._order.popleft()
+        """Add the latency of one call in seconds."""
+        if len(self._by_arrival) == self._size:
+            oldest = self._by_arrival.popleft()
             del self._sorted[bisect_left(self._sorted, oldest)]
-        self._order.append(latency)
+        self._by_arrival.append(latency)
         insort(self._sorted, latency)
 
     def quantile(self, share: float) -> float | None:
-        """Return a quantile in seconds, None while there are too few samples to trust."""
+        """Return a quantile in seconds, None if there are too few samples for an estimate."""
         if len(self._sorted) < _MIN_SAMPLES:
             return None
         index = min(int(share * len(self._sorted)), len(self._sorted) - 1)
@@ -43,15 +43,15 @@
 
 
 class ShareBudget:
-    """Allows an action as a share of the calls made, with a small reserve.
+    """Token bucket that limits an action to a share of the calls made, plus a small reserve.
 
-    Without a budget, hedges and retries rise with trouble and add load just when searchers have
-    least room: a brown-out becomes an outage. Tying them to calls that were made anyway bounds the
-    extra load at `share`, whatever fails.
+    Without a budget, hedges and retries increase with failures and add load when searchers have the
+    least spare capacity, which turns a brown-out into an outage. Tying them to the number of
+    regular calls limits the extra load to `share`, whatever fails.
 
     Args:
         share: Actions allowed per call, 0 to 1.
-        reserve: Actions that may be saved up, and the number allowed at the start.
+        reserve: Maximum number of saved actions, and the number available at the start.
     """
 
     __slots__ = ("_reserve", "_share", "_tokens")
@@ -68,24 +68,24 @@
 
     @property
     def available(self) -> bool:
-        """Whether one more action is allowed now."""
+        """Whether an action is allowed now."""
         return self._tokens >= 1.0
 
     def earn(self, weight: float = 1.0) -> None:
         """Count one call.
 
         Args:
-            weight: How much the call counts, 0 to 1; less where there is less room for more calls.
+            weight: Weight of the call, 0 to 1; lower if there is less capacity for extra calls.
         """
         self._tokens = min(self._tokens + self._share * weight, self._reserve)
 
     def change_share(self, share: float) -> None:
-        """Allow another share from now on."""
+        """Change the share for future calls; a share of 0 also discards the saved actions."""
         self._share = share
         self._tokens = self._tokens if share > 0 else 0.0
 
     def spend(self) -> bool:
-        """Take one action out of the budget; false where it is empty."""
+        """Take one action out of the budget; return False if it is empty."""
         if not self.available:
             return False
         self._tokens -= 1.0
--- a/packages/limpethollow-policy/src/limpethollow_policy/request/outboxes.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/request/outboxes.py
@@ -1,10 +1,10 @@
-"""The actions that one event leads to, in order."""
+"""Buffer for the actions that result from one event."""
 
 from limpethollow_policy.request.events import Action, Count
 
 
 class Outbox:
-    """Collects actions until the event that caused them is worked off."""
+    """Collects actions in order until the event that caused them has been processed."""
 
     __slots__ = ("_actions",)
 
@@ -16,10 +16,10 @@
         self._actions.append(action)
 
     def count(self, name: str, reason: str = "") -> None:
-        """Have a counter raised."""
+        """Append an action that increments a counter."""
         self._actions.append(Count(name, reason))
 
     def drain(self) -> list[Action]:
-        """Return all actions and forget them."""
+        """Return all actions and clear the buffer."""
         actions, self._actions = self._actions, []
         return actions
--- a/packages/limpethollow-policy/src/limpethollow_policy/request/records.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/request/records.py
@@ -1,4 +1,4 @@
-"""Merging of the shards' records into one answer."""
+"""Merging of the records of several shards."""
 
 import struct
 from collections.abc import Iterable
@@ -9,13 +9,13 @@
 
 
 def merge_records(bodies: Iterable[bytes], top: int) -> bytes:
-    """Return the greatest records of several shards as one body, greatest first.
+    """Return the highest records of several shards as one body, in descending order.
 
-    Equal records all count. A remainder of a body that is shorter than a record is no record.
+    Equal records are all kept. Trailing bytes of a body that are shorter than a record are ignored.
 
     Args:
-        bodies: What the shards sent; bodies that were merged before count as well.
-        top: Records wanted.
+        bodies: Bodies of the shards' replies, or bodies that were merged before.
+        top: Maximum number of records to return.
     """
     joined = b"".join(body[: len(body) - len(body) % RECORD_BYTES] for body in bodies)
     records = [record for (record,) in _RECORD.iter_unpack(joined)]
--- a/packages/limpethollow-policy/src/limpethollow_policy/request/snapshots.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/request/snapshots.py
@@ -1,4 +1,4 @@
-"""Choice of the one snapshot that all parts of an answer come from."""
+"""Choice of the snapshot that all parts of an answer come from."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -6,11 +6,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Inventory:
-    """What one usable searcher can serve at the wanted partition epoch.
+    """Index versions that one usable searcher can serve at the requested partition epoch.
 
     Attributes:
-        searcher_id: Name of the searcher.
-        versions: Index versions kept, by shard.
+        searcher_id: Id of the searcher.
+        versions: Available index versions by shard.
     """
 
     searcher_id: str
@@ -24,8 +24,8 @@
 
     Args:
         inventories: One for each usable searcher.
-        shards: Shards wanted.
-        min_version: Lowest version allowed.
+        shards: Requested shards.
+        min_version: Lowest acceptable version.
     """
     common: set[int] | None = None
     by_shard = versions_by_shard(inventories, shards)
@@ -37,7 +37,7 @@
 def versions_by_shard(
     inventories: Iterable[Inventory], shards: frozenset[int]
 ) -> dict[int, set[int]]:
-    """Return, for each wanted shard, the versions that some searcher keeps."""
+    """Return, for each requested shard, the versions that at least one searcher holds."""
     by_shard: dict[int, set[int]] = {shard: set() for shard in shards}
     for inventory in inventories:
         for shard in shards & inventory.versions.keys():
@@ -50,12 +50,12 @@
 ) -> int | None:
     """Choose the index version of an answer.
 
-    The newest version that every shard can serve wins. Where no version is servable on every
-    shard, the one that covers most shards wins, the newer one on a tie: the answer then says which
-    shards it lacks instead of mixing versions.
+    This is the newest version that every shard can serve. If there is none, it is the version that
+    covers the most shards, the newest one on a tie: the answer then reports the missing shards
+    instead of mixing versions.
 
     Returns:
-        The version, None where no shard has any version allowed.
+        The version, None if no shard has an acceptable version.
     """
     known = list(inventories)
     complete = servable_versions(known, shards, min_version)
--- a/packages/limpethollow-policy/src/limpethollow_policy/request/verdicts.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/request/verdicts.py
@@ -1,23 +1,23 @@
-"""What a searcher's reply proves about the request that it answers."""
+"""Classification of searchers' replies: whether the request was run."""
 
 from enum import Enum
 
 _MISDIRECTED = 421
-# Callers take these for a promise that the request has not run, and send it again.
+# Callers interpret these as a guarantee that the request was not run, and send it again.
 _NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 
 
 class Verdict(Enum):
-    """What is known after a send has ended.
+    """Result of a send.
 
     Attributes:
-        ANSWERED: The searcher ran the request and this is its success.
-        FAILED: The searcher says that the request failed; it may have run.
-        NOT_RUN: The searcher says that the request has not run and will not.
+        ANSWERED: The searcher ran the request and replied with success.
+        FAILED: The searcher reported a failure; the request may have run.
+        NOT_RUN: The searcher reported that the request did not run and will not.
         NOT_SENT: No byte of the request reached the searcher.
-        LOST: The connection ended after the request was sent and before any byte of a reply: the
-            searcher may have run the request, and may have ended under it.
-        UNKNOWN: The request may have run; nothing usable came back.
+        LOST: The connection was lost after the request was sent and before any byte of a reply:
+            the request may have run, and may have crashed the searcher.
+        UNKNOWN: The request may have run; no usable reply was received.
     """
 
     ANSWERED = "answered"
@@ -31,18 +31,18 @@
 def judge_reply(
     status: int, *, own_id: bool, proved: bool, not_run: bool, encoded: bool
 ) -> Verdict:
-    """Return what a complete reply proves.
+    """Classify a complete reply.
 
-    A connection may carry a second, late reply to an earlier request where the next one is due.
-    Taken for the current one it gives a caller somebody else's answer, or a false "not run"; only
-    the echoed id tells them apart, so without it nothing in the reply counts.
+    A connection may deliver a second, late reply to an earlier request in place of the expected
+    one. Used for the current request, it would give a caller another caller's answer or a false
+    "not run". Only the echoed id distinguishes them, so a reply without it is ignored.
 
     Args:
-        status: The reply's status.
+        status: HTTP status of the reply.
         own_id: Whether it echoes this request's id.
         proved: Whether it carries the searcher's signature.
-        not_run: Whether it says that the request was not run.
-        encoded: Whether its body has a content encoding, which nobody asked for.
+        not_run: Whether it states that the request was not run.
+        encoded: Whether its body has a content encoding, which was not requested.
     """
     if not own_id:
         return Verdict.UNKNOWN
@@ -56,10 +56,10 @@
 
 
 def may_pass_on(status: int, *, idempotent: bool) -> bool:
-    """Return whether a failure that doesn't say "not run" may go to the caller as it is.
+    """Return whether a failure without proof of "not run" may be passed to the caller unchanged.
 
     Args:
-        status: The searcher's status.
+        status: HTTP status of the searcher's reply.
         idempotent: Whether the request may run more than once.
     """
     return idempotent or status not in _NOT_RUN_STATUSES
--- a/packages/limpethollow-policy/src/limpethollow_policy/version/__init__.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/version/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions that live for one version of the configuration."""
+"""Decision logic with the lifetime of one configuration version."""
--- a/packages/limpethollow-policy/src/limpethollow_policy/version/checks.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/version/checks.py
@@ -1,4 +1,4 @@
-"""Checks that the policies named in a service's configuration exist."""
+"""Validation of the policy names in a service's configuration."""
 
 from limpethollow_policy.process.admissions import find_queue
 from limpethollow_policy.process.choices import find_choice
@@ -7,10 +7,10 @@
 
 
 def check_policies(spec: ServiceSpec) -> None:
-    """Check every policy that a service names.
+    """Check that every policy named by a service is registered.
 
     Raises:
-        BadRequest: A name is not registered; the message lists those that are.
+        BadRequest: A name is not registered; the message lists the registered ones.
     """
     find_queue(spec.admission.policy)
     find_choice(spec.replica_choice)
--- a/packages/limpethollow-policy/src/limpethollow_policy/version/configurations.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/version/configurations.py
@@ -1,4 +1,4 @@
-"""The configuration in force at one instance, merged from whatever brings it."""
+"""The configuration in force at one instance, merged from all sources."""
 
 from collections.abc import Iterable
 from hashlib import blake2b
@@ -9,15 +9,16 @@
 
 
 class Configuration:
-    """Keeps the newest record of every service, tombstones included.
+    """Holds the latest record of every service, including tombstones.
 
-    Records come from the platform, from relays and from random peers, late, twice and out of
-    order. Only a higher version replaces a lower one, and a deletion is a record like any other,
-    so nothing that was frozen, cut off or just started can bring an old version back.
+    Records arrive from the platform, from relays and from random peers, possibly late, duplicated
+    and out of order. A record is replaced only by one with a higher version, and a deletion is a
+    record like any other, so an instance that was frozen, partitioned or just started can't bring
+    an old version back.
 
-    A tombstone is never forgotten: an instance that was cut off for any length of time may still
-    offer the record that it replaced, and without the tombstone that record would look new. A
-    service of the same name, created again, takes its place.
+    Tombstones are never removed: an instance that was partitioned for any length of time may still
+    offer the deleted record, which would look new without the tombstone. A tombstone is replaced
+    when a service of the same name is created again.
     """
 
     __slots__ = ("_buckets", "_fingerprint", "_records")
@@ -32,29 +33,29 @@
 
     @property
     def records(self) -> tuple[ServiceRecord, ...]:
-        """All records, tombstones included."""
+        """All records, including tombstones."""
         return tuple(self._records.values())
 
     @property
     def digest(self) -> dict[str, int]:
-        """Version by service, tombstones included."""
+        """Version by service, including tombstones."""
         return {name: record.version for name, record in self._records.items()}
 
     @property
     def fingerprint(self) -> int:
-        """Hash over name and version of all records; equal where two instances agree."""
+        """Hash over the names and versions of all records; equal if two instances agree."""
         return self._fingerprint
 
     @property
     def bucket_hashes(self) -> dict[int, int]:
-        """Hash of each bucket of records that is not empty."""
+        """Hash of each non-empty bucket of records."""
         return {index: value for index, value in enumerate(self._buckets) if value}
 
     def merge(self, records: Iterable[ServiceRecord]) -> tuple[ServiceRecord, ...]:
-        """Take in records.
+        """Merge records into the configuration.
 
         Returns:
-            Those that were newer than what was known, now in force.
+            The records that were newer than the known ones and are now in force.
         """
         applied = []
         for record in records:
@@ -65,20 +66,20 @@
         return tuple(applied)
 
     def get(self, name: str) -> ServiceRecord | None:
-        """Return the record of a service, a tombstone included, None where there is none."""
+        """Return the record of a service, which may be a tombstone, or None if there is none."""
         return self._records.get(name)
 
     def spec(self, name: str) -> ServiceSpec | None:
-        """Return a service's configuration, None where it is deleted or not known."""
+        """Return a service's configuration, None if it is deleted or unknown."""
         record = self._records.get(name)
         return record.spec if record else None
 
-    def differing_buckets(self, theirs: dict[int, int]) -> tuple[int, ...]:
+    def differing_buckets(self, peer_hashes: dict[int, int]) -> tuple[int, ...]:
         """Return the buckets whose records differ from a peer's."""
-        return tuple(i for i, value in enumerate(self._buckets) if value != theirs.get(i, 0))
+        return tuple(i for i, value in enumerate(self._buckets) if value != peer_hashes.get(i, 0))
 
     def versions_in(self, buckets: Iterable[int]) -> dict[str, int]:
-        """Return the versions of all records in some buckets."""
+        """Return the versions of all records in the given buckets."""
         wanted = frozenset(buckets)
         return {
             name: record.version
@@ -87,15 +88,15 @@
         }
 
     def lacking(self, versions: dict[str, int]) -> tuple[str, ...]:
-        """Return the names whose version in a peer's digest is newer than ours."""
+        """Return the names whose version in a peer's digest is higher than the local one."""
         return tuple(name for name, version in versions.items() if version > self._version(name))
 
     def newer_than(self, versions: dict[str, int], buckets: Iterable[int]) -> tuple[str, ...]:
-        """Return the names for which a peer has an older version or none.
+        """Return the names for which a peer has an older version or no record.
 
         Args:
-            versions: The peer's versions in some buckets.
-            buckets: The buckets.
+            versions: The peer's versions in the given buckets.
+            buckets: The buckets to compare.
         """
         wanted = frozenset(buckets)
         return tuple(
@@ -109,12 +110,12 @@
         return record.version if record else 0
 
     def _replace(self, known: ServiceRecord | None, record: ServiceRecord) -> None:
-        change = _hash(record.name, record.version)
+        delta = _hash(record.name, record.version)
         if known is not None:
-            change ^= _hash(known.name, known.version)
+            delta ^= _hash(known.name, known.version)
         self._records[record.name] = record
-        self._buckets[_bucket(record.name)] ^= change
-        self._fingerprint ^= change
+        self._buckets[_bucket(record.name)] ^= delta
+        self._fingerprint ^= delta
 
 
 def _bucket(name: str) -> int:
--- a/packages/limpethollow-policy/src/limpethollow_policy/version/groups.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/version/groups.py
@@ -1,4 +1,4 @@
-"""How a service is cut into groups of shards with all searchers that hold them."""
+"""Partitioning of a service into groups of shards and the searchers that hold them."""
 
 from dataclasses import dataclass
 
@@ -10,7 +10,7 @@
     """A set of shards and every searcher that holds one of them.
 
     Attributes:
-        index: Number of the group within the service.
+        index: Index of the group within the service.
         shards: Its shards.
         searchers: Its searchers.
     """
@@ -21,39 +21,40 @@
 
 
 class GroupCuts:
-    """Remembers how services are cut, so that a search does not cut its service anew."""
+    """Caches the groups of each service, so that they are not computed for every search."""
 
-    __slots__ = ("_cuts",)
+    __slots__ = ("_by_service",)
 
     def __init__(self) -> None:
-        self._cuts: dict[str, tuple[int, tuple[Group, ...]]] = {}
+        self._by_service: dict[str, tuple[int, tuple[Group, ...]]] = {}
 
     def of(self, record: ServiceRecord) -> tuple[Group, ...]:
-        """Return the groups of a record, none for a tombstone."""
-        version, cut = self._cuts.get(record.name, (-1, ()))
+        """Return the groups of a record; empty for a tombstone."""
+        version, groups = self._by_service.get(record.name, (-1, ()))
         if version != record.version:
-            cut = cut_groups(record.spec) if record.spec else ()
-            self._cuts[record.name] = (record.version, cut)
-        return cut
+            groups = cut_groups(record.spec) if record.spec else ()
+            self._by_service[record.name] = (record.version, groups)
+        return groups
 
 
 def cut_groups(spec: ServiceSpec) -> tuple[Group, ...]:
-    """Cut a service into groups.
+    """Partition a service into groups.
 
-    Shards that share a searcher belong together, so that replica choice, connections and slots of
-    a searcher are decided in one place. Sets that share none are joined in shard order up to
-    `searchers_per_group`.
+    Shards that share a searcher, directly or through other shards, are placed in the same group, so
+    that the choice of replicas and the connections and slots of a searcher are managed in one
+    place. Sets of shards without a common searcher are merged, in shard order, into groups of up
+    to `searchers_per_group` searchers.
     """
-    bundles = _connected_shards(spec)
+    components = _connected_shards(spec)
     groups: list[Group] = []
     shards: set[int] = set()
     searchers: dict[str, SearcherSpec] = {}
-    for bundle in bundles:
-        holders = {s.id: s for s in spec.searchers if bundle & set(s.shards)}
+    for component in components:
+        holders = {s.id: s for s in spec.searchers if component & set(s.shards)}
         if shards and len(searchers) + len(holders) > spec.searchers_per_group:
             groups.append(Group(len(groups), frozenset(shards), tuple(searchers.values())))
             shards, searchers = set(), {}
-        shards |= bundle
+        shards |= component
         searchers |= holders
     groups.append(Group(len(groups), frozenset(shards), tuple(searchers.values())))
     return tuple(groups)
@@ -71,7 +72,7 @@
     for searcher in spec.searchers:
         for shard in searcher.shards[1:]:
             parent[root(shard)] = root(searcher.shards[0])
-    bundles: dict[int, set[int]] = {}
+    components: dict[int, set[int]] = {}
     for shard in range(spec.shards):
-        bundles.setdefault(root(shard), set()).add(shard)
-    return sorted(bundles.values(), key=min)
+        components.setdefault(root(shard), set()).add(shard)
+    return sorted(components.values(), key=min)
--- a/packages/limpethollow-policy/src/limpethollow_policy/version/plans.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/version/plans.py
@@ -1,4 +1,4 @@
-"""Plans: what an intent would change, what that touches, and whether it may be carried out."""
+"""Plans: the changes and effects of an intent, and whether a plan may be applied."""
 
 import re
 from dataclasses import dataclass
@@ -24,15 +24,15 @@
 
 @dataclass(slots=True, frozen=True)
 class PlanName:
-    """Name of a plan, which also says where it is kept: one of a service's few slots.
+    """Name of a plan, which includes its storage slot; each service has a fixed number of slots.
 
-    Slots bound the number of plans without a list, a clock or a clean-up: a slot is free again
-    once its plan's base is stale, and a plan on a stale base can't be confirmed anyway.
+    Slots limit the number of plans without a list, a clock or a clean-up: a slot is free again once
+    its plan's base version is stale, since such a plan can't be confirmed any more.
 
     Attributes:
-        service: Service concerned.
+        service: Name of the service.
         slot: Number of the slot.
-        nonce: Makes the name unique; it is the write id of the confirm.
+        nonce: Makes the name unique; the name is also the write id of the confirm.
     """
 
     service: str
@@ -44,33 +44,33 @@
 
     @property
     def slot_name(self) -> str:
-        """Name of the platform's object that keeps the plan."""
+        """Name of the platform object that stores the plan."""
         return f"{self.service}.{self.slot}"
 
     @classmethod
     def new(cls, service: str, slot: int, rng: Random) -> "PlanName":
-        """Return a name that was never used."""
+        """Return a new, unique name."""
         return cls(service, slot, f"{rng.getrandbits(_NONCE_BITS):024x}")
 
     @classmethod
     def parse(cls, text: str) -> "PlanName":
-        """Read a name.
+        """Parse a name.
 
         Raises:
-            NotFound: It is no plan's name.
+            NotFound: The text is not a valid plan name.
         """
         match = _PLAN_NAME.fullmatch(text)
         if match is None or int(match[2]) >= PLAN_SLOTS:
-            raise NotFound("There is no plan of this name.", remedy="Plan again.")
+            raise NotFound("There is no plan with this name.", remedy="Plan again.")
         return cls(match[1], int(match[2]), match[3])
 
 
 @dataclass(slots=True, frozen=True)
 class StoredService:
-    """A service's object as the platform holds it.
+    """A service's object as stored in the platform.
 
     Attributes:
-        version: Its version, 0 where there is none.
+        version: Its version, 0 if there is no object.
         value: Its value: `spec`, `write_id`, and the `earlier` write ids with their versions.
     """
 
@@ -78,14 +78,14 @@
     value: dict[str, Any]
 
     def version_of(self, write_id: str) -> int:
-        """Return the version that a write got, 0 where it is not known to have happened."""
+        """Return the version produced by a write, 0 if the write is not known to have happened."""
         if self.value.get("write_id") == write_id:
             return self.version
         return dict(self.value.get("earlier", ())).get(write_id, 0)
 
 
 class Verdict(Enum):
-    """What to do with a plan that is confirmed."""
+    """How to handle a confirmed plan."""
 
     WRITE = auto()
     NOTHING = auto()
@@ -93,17 +93,17 @@
 
 
 def judge(plan: Plan, stored: StoredService) -> Verdict:
-    """Say what to do with a plan that was not carried out yet."""
+    """Decide how to handle a confirmed plan that was not applied yet."""
     if plan.base_version != stored.version:
         return Verdict.STALE
     return Verdict.NOTHING if plan.action == "none" else Verdict.WRITE
 
 
 def value_after(plan: Plan, stored: StoredService) -> dict[str, Any]:
-    """Return the value that carrying out a plan writes.
+    """Return the value to write in order to apply a plan.
 
-    It names the writes before it, so that an operator whose reply was lost finds the own write
-    even after somebody else wrote on top.
+    It includes the ids of earlier writes, so that an operator whose reply was lost can find their
+    own write even after another operator has written a newer version.
     """
     earlier = list(stored.value.get("earlier", ()))
     if stored.version:
@@ -116,34 +116,36 @@
 
 
 def is_open(plan: Plan, current_version: int) -> bool:
-    """Return whether a kept plan could still be confirmed."""
+    """Return whether a stored plan can still be confirmed."""
     return plan.base_version >= current_version
 
 
 def intended_name(intent: Intent) -> str:
-    """Return the name of the service that an intent speaks of.
+    """Return the name of the service that an intent refers to.
 
     Raises:
-        BadRequest: The intent is empty, says two things, or names no valid service.
+        BadRequest: The intent has neither or both of `service` and `delete`, or the name of the
+            service is not valid.
     """
     if (intent.service is None) == (not intent.delete):
-        raise BadRequest("An intent must have either 'service' or 'delete'.")
+        raise BadRequest("An intent must have exactly one of 'service' and 'delete'.")
     name = intent.service.name if intent.service else intent.delete
     if not _SERVICE_NAME.fullmatch(name):
-        raise BadRequest("The service's name may have lower-case letters, digits and '-' only.")
+        raise BadRequest("The service name must be 1 to 64 lower-case letters, digits or '-'.")
     return name
 
 
 def make_plan(plan_id: str, intent: Intent, current: ServiceRecord | None) -> Plan:
-    """Work out what an intent would change.
+    """Compute the changes and effects of an intent.
 
     Args:
-        plan_id: Name for the plan.
-        intent: What the operator wants.
-        current: The service's newest record, a tombstone included.
+        plan_id: Name of the plan.
+        intent: The change that the operator requests.
+        current: The service's latest record, which may be a tombstone; None if there is none.
 
     Raises:
-        BadRequest: The intent is empty, says two things, or its service is not valid.
+        BadRequest: The intent has neither or both of `service` and `delete`, or its service is not
+            valid.
     """
     name = intended_name(intent)
     wanted = intent.service
@@ -192,7 +194,7 @@
 def _effect(old: ServiceSpec | None, new: ServiceSpec | None) -> PlanEffect:
     before = {s.id: s for s in old.searchers} if old else {}
     after = {s.id: s for s in new.searchers} if new else {}
-    touched = {
+    affected = {
         shard
         for name in before.keys() | after.keys()
         if before.get(name) != after.get(name)
@@ -200,10 +202,12 @@
         if spec
         for shard in spec.shards
     }
-    moved = set(old.evacuated if old else ()) ^ set(new.evacuated if new else ())
-    touched.update(shard for s in after.values() if s.failure_domain in moved for shard in s.shards)
+    changed_domains = set(old.evacuated if old else ()) ^ set(new.evacuated if new else ())
+    affected.update(
+        shard for s in after.values() if s.failure_domain in changed_domains for shard in s.shards
+    )
     return PlanEffect(
-        shards=tuple(sorted(touched)),
+        shards=tuple(sorted(affected)),
         searchers_added=tuple(sorted(after.keys() - before.keys())),
         searchers_removed=tuple(sorted(before.keys() - after.keys())),
         connections=max((connections_per_searcher(s) * 4 for s in after.values()), default=0),
@@ -232,9 +236,11 @@
             replicas[shard] += 1
     if min(replicas.values()) < 2:
         warnings.append("Some shards have one replica only; its loss is missing coverage.")
-    dark = _evacuated_shards(new)
-    if dark:
-        warnings.append(f"All searchers of {len(dark)} shards are in evacuated failure domains.")
+    unserved = _evacuated_shards(new)
+    if unserved:
+        warnings.append(
+            f"All searchers of {len(unserved)} shards are in evacuated failure domains."
+        )
     if not new.callers:
         warnings.append("No caller is listed, so nobody may use the service.")
     if old and old.shards != new.shards and old.epoch == new.epoch:
--- a/packages/limpethollow-policy/src/limpethollow_policy/version/routes.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/version/routes.py
@@ -1,4 +1,4 @@
-"""Which route a request takes in one version of the configuration."""
+"""Routes of one configuration version, and the choice of the route for a request."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -19,20 +19,20 @@
 
 @dataclass(slots=True, frozen=True)
 class Route:
-    """How requests under one host and path prefix are served.
+    """Handling of requests under one host and path prefix.
 
     Attributes:
-        name: The operator's name for it.
+        name: Name given by the operator.
         host: Host in lower case, without a port.
         prefix: Path prefix; begins and ends with a slash.
         idempotent: Whether a request may run more than once.
-        timeout: Longest time in seconds that a caller is kept waiting.
-        objective: Time in seconds within which an answer is worth most.
-        attempts: Searchers to which one request may be sent; for a search, per shard.
-        targets: Services of a route that forwards; empty for a search.
-        shards: Services that each hold one shard; empty for a route that forwards.
-        top: Records in a search's answer.
-        floor: Least share of the shards, 0 to 1, that an answer must cover.
+        timeout: Maximum time in seconds that a caller waits for the answer.
+        objective: Target time in seconds for the answer.
+        attempts: Maximum number of searchers that a request is sent to; for a search, per shard.
+        targets: Services that a forwarding route sends to; empty for a search route.
+        shards: Services of a search route, each holding one shard; empty for a forwarding route.
+        top: Number of records in a search's answer.
+        floor: Minimum share of the shards, 0 to 1, that an answer must cover.
     """
 
     name: str
@@ -49,23 +49,23 @@
 
     @property
     def least_parts(self) -> int:
-        """Return how many shards an answer must cover."""
-        # The tolerance keeps a floor such as 0.6 of 5 from asking for a fourth shard, since the
-        # product is a hair above 3 in binary floating point.
+        """Return the minimum number of shards that an answer must cover."""
+        # The tolerance compensates for floating-point error: a floor such as 0.55 of 100 shards
+        # would otherwise require one more, since the product is slightly above 55.
         return max(1, -int(-(self.floor * len(self.shards) - 1e-9) // 1))
 
 
 @dataclass(slots=True, frozen=True)
 class CallerLimits:
-    """What a caller may send, and how long it may take.
+    """Size and time limits on callers' requests.
 
-    The defaults hold until a configuration is known.
+    The defaults apply until a configuration is known.
 
     Attributes:
-        header_bytes: Longest request line and headers together.
-        body_bytes: Longest body.
+        header_bytes: Maximum size of the request line and headers together.
+        body_bytes: Maximum size of the body.
         header_timeout: Seconds from a request's first byte to the end of its headers.
-        idle_timeout: Seconds that a connection may stay open without a request.
+        idle_timeout: Seconds that a connection may remain open without a request.
     """
 
     header_bytes: int = 16 * 1024
@@ -76,13 +76,13 @@
 
 @dataclass(slots=True, frozen=True)
 class ServiceLimits:
-    """What the searchers of a service accept.
+    """Load limits of a service's searchers.
 
     Attributes:
-        connections: Connections to one searcher from all instances together.
-        cold_seconds: How long a searcher is cold after its start.
-        cold_rate: Requests a second that a cold searcher stands from all instances together; 0
-            where it stands any number.
+        connections: Maximum connections to one searcher from all instances together.
+        cold_seconds: Duration of a searcher's warm-up after its start.
+        cold_rate: Requests per second that a searcher can handle during its warm-up, from all
+            instances together; 0 for no limit.
     """
 
     connections: int
@@ -92,13 +92,13 @@
 
 @dataclass(slots=True, frozen=True)
 class RoutingVersion:
-    """One version of the configuration; never changed once it is made.
+    """One version of the configuration; immutable.
 
     Attributes:
-        number: The operator's version number.
+        number: Version number given by the operator.
         routes: All routes.
         services: Limits by service.
-        limits: What callers may send.
+        limits: Limits on callers' requests.
     """
 
     number: int
@@ -107,7 +107,7 @@
     limits: CallerLimits
 
     def service_names(self) -> frozenset[str]:
-        """Return every service that some route sends requests to."""
+        """Return all services that any route sends requests to."""
         names = {target.name for route in self.routes for target in route.targets}
         for route in self.routes:
             names.update(route.shards)
@@ -129,13 +129,13 @@
             self._by_host.setdefault(route.host, {})[route.prefix] = route
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix that begins a path.
+        """Return the route with the longest prefix that matches a path.
 
-        The cost grows with the depth of the path and not with the number of routes.
+        The cost depends on the depth of the path, not on the number of routes.
 
         Args:
             host: Value of the Host header.
-            path: Path without the query.
+            path: Path without the query string.
         """
         routes = self._by_host.get(host.partition(":")[0].lower())
         if routes is None:
@@ -150,10 +150,10 @@
 
 
 class VersionBook:
-    """The version in force at this instance; it only ever rises within one process.
+    """The configuration version in force at this instance; it never decreases within a process.
 
-    A slow reply of an earlier read, or a peer that lags, may offer an older version after a newer
-    one was used. Callers would see a removed route come back; so an older version is ignored.
+    A delayed reply to an earlier read, or a lagging peer, may offer an older version after a newer
+    one was in use. Older versions are ignored; otherwise a removed route would reappear.
     """
 
     __slots__ = ("_confirmed_at", "_current", "_table")
@@ -165,11 +165,11 @@
 
     @property
     def current(self) -> RoutingVersion | None:
-        """Return the version in force, None before one is known."""
+        """Return the version in force, None if none is known yet."""
         return self._current
 
     def offer(self, version: RoutingVersion) -> bool:
-        """Put a version in force where it is newer; return whether it was."""
+        """Put a version in force if it is newer; return whether it was."""
         if self._current is not None and version.number <= self._current.number:
             return False
         self._current = version
@@ -177,23 +177,24 @@
         return True
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route in force for a host and path, None where there is none."""
+        """Return the route in force for a host and path, None if there is none."""
         return self._table.find(host, path)
 
     def confirm(self, now: float) -> None:
-        """Note that the platform's store had nothing newer at this monotonic second."""
+        """Record that the platform's store had no newer version at this monotonic second."""
         self._confirmed_at = max(self._confirmed_at, now)
 
     def age(self, now: float) -> float:
-        """Return the seconds since the version was last known to be the newest."""
+        """Return the seconds since the version was last confirmed to be the newest."""
         return now - self._confirmed_at
 
 
 class WeightedTurns:
-    """Deals requests among a route's targets by weight, as evenly as can be.
+    """Distributes requests among a route's targets by smooth weighted round robin.
 
-    Each target gains its weight a turn and the richest pays for the turn (smooth weighted round
-    robin), so that the shares hold over any few dozen requests and not only on average.
+    For each request, every target's credit is increased by its weight; the target with the highest
+    credit is chosen, and its credit is reduced by the total weight. The shares therefore hold over
+    any few dozen requests and not only on average.
     """
 
     __slots__ = ("_credits",)
@@ -215,5 +216,5 @@
         return chosen
 
     def forget(self) -> None:
-        """Start over, as when the weights have changed."""
+        """Reset all credits, for example after the weights have changed."""
         self._credits.clear()
