--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/dispatch.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/dispatch.py
@@ -124,8 +124,8 @@
         """Divide repeated sends, connections and calls to cold searchers among instances.
 
         Args:
-            sharers: Number of instances to divide by for this one's share; an instance that makes
-                few calls counts as a fraction.
+            sharers: Number of instances to divide by for this one's share; an instance that
+                makes few calls counts as a fraction.
         """
         self._sharers = max(1.0, sharers)
         self.budget.share_among(self._sharers, self.loop.time())
