--- a/packages/limpethollow-policy/src/limpethollow_policy/process/admissions.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/admissions.py
@@ -1,6 +1,7 @@
-"""Admission policies: in which order waiting searches get the searchers, and which must leave.
+"""Admission policies: the order in which queued searches start, and which are evicted.
 
-The registry of all policies. `docs/ADMISSION.md` gives the figures by which the default was chosen.
+Importing this module registers all policies. `docs/ADMISSION.md` gives the measurements behind the
+choice of the default.
 """
 
 from limpethollow_policy.process import admissions_fifo as _fifo
@@ -26,7 +27,7 @@
 
 
 def make_queue(name: str, limits: AdmissionLimits) -> AdmissionQueue:
-    """Make the queue that a configuration names.
+    """Create the queue of the policy named in a configuration.
 
     Raises:
         BadRequest: No policy has this name.
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/admissions_fifo.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/admissions_fifo.py
@@ -1,4 +1,4 @@
-"""First come, first served."""
+"""First-in, first-out admission queue."""
 
 from collections import deque
 from collections.abc import Iterator
@@ -14,43 +14,43 @@
 
 @admission_policy("fifo")
 class FifoQueue(AdmissionQueue):
-    """First come, first served: the baseline; one flooding firm fills it for all."""
+    """First-in, first-out queue, used as the baseline; one flooding firm can fill it for all."""
 
-    __slots__ = ("_drain", "_waiting")
+    __slots__ = ("_drain_rate", "_queue")
 
     def __init__(self, limits: AdmissionLimits) -> None:
         super().__init__(limits)
-        self._drain = DrainRate()
-        self._waiting: deque[Gather] = deque()
+        self._drain_rate = DrainRate()
+        self._queue: deque[Gather] = deque()
 
     def __len__(self) -> int:
-        return len(self._waiting)
+        return len(self._queue)
 
     def __iter__(self) -> Iterator[Gather]:
-        return iter(self._waiting)
+        return iter(self._queue)
 
     def offer(self, gather: Gather) -> Gather | None:
-        """Let a search wait at the end."""
-        if len(self._waiting) >= self._limits.max_queue:
+        """Append a search; a full queue rejects it."""
+        if len(self._queue) >= self._limits.max_queue:
             return gather
-        if not self._waiting:
-            self._drain.refilled()
-        self._waiting.append(gather)
+        if not self._queue:
+            self._drain_rate.refilled()
+        self._queue.append(gather)
         return None
 
     def pop(self, now: float) -> Gather | None:
-        """Take out the search that came first."""
-        if not self._waiting:
+        """Remove and return the oldest search."""
+        if not self._queue:
             return None
-        gather = self._waiting.popleft()
-        self._drain.started(now, len(self._waiting))
+        gather = self._queue.popleft()
+        self._drain_rate.started(now, len(self._queue))
         return gather
 
     def remove(self, gather: Gather) -> None:
-        """Take out one search that left."""
-        if gather in self._waiting:
-            self._waiting.remove(gather)
+        """Remove one search, if it is queued."""
+        if gather in self._queue:
+            self._queue.remove(gather)
 
     def wait(self, firm: str, now: float) -> float:
-        """Return the seconds that all who wait take."""
-        return self._drain.wait(len(self._waiting), now)
+        """Return the expected seconds until all queued searches have started."""
+        return self._drain_rate.wait(len(self._queue), now)
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/admissions_queues.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/admissions_queues.py
@@ -1,4 +1,4 @@
-"""What all admission policies share: their registry, their bounds and one queue per firm."""
+"""Common parts of the admission policies: registry, limits and queues by firm."""
 
 from abc import ABC, abstractmethod
 from collections import deque
@@ -11,8 +11,8 @@
 
 _POLICIES: dict[str, type["AdmissionQueue"]] = {}
 
-_UNLISTED_SHARE = 1.0
-_UNUSED_DRAIN = DrainRate()
+_DEFAULT_SHARE = 1.0
+_INITIAL_DRAIN_RATE = DrainRate()
 
 
 def admission_policy(name: str) -> Callable[[type["AdmissionQueue"]], type["AdmissionQueue"]]:
@@ -46,11 +46,11 @@
 
 @dataclass(slots=True, frozen=True)
 class AdmissionLimits:
-    """What an admission policy has to share out.
+    """Limits and weights that an admission policy applies.
 
     Attributes:
-        max_queue: Searches that may wait.
-        shares: Weight by firm; firms not listed weigh 1.
+        max_queue: Maximum number of queued searches.
+        shares: Weight by firm; firms not listed have weight 1.
     """
 
     max_queue: int
@@ -58,14 +58,14 @@
 
     def share(self, firm: str) -> float:
         """Return a firm's weight."""
-        return self.shares.get(firm, _UNLISTED_SHARE)
+        return self.shares.get(firm, _DEFAULT_SHARE)
 
 
 class AdmissionQueue(ABC):
-    """Searches that wait for a free slot.
+    """Queue of searches that wait for a free slot.
 
     Args:
-        limits: What there is to share out.
+        limits: The queue length and the weights of the firms.
     """
 
     __slots__ = ("_limits",)
@@ -75,36 +75,36 @@
 
     @abstractmethod
     def __len__(self) -> int:
-        """Return the number of waiting searches."""
+        """Return the number of queued searches."""
 
     @abstractmethod
     def __iter__(self) -> Iterator[Gather]:
-        """Iterate over all waiting searches in no particular order."""
+        """Iterate over all queued searches in no particular order."""
 
     @abstractmethod
     def offer(self, gather: Gather) -> Gather | None:
-        """Let a search wait.
+        """Add a search to the queue.
 
         Returns:
-            The search that must leave for it, which may be the offered one; None where there was
-            room.
+            The search that was rejected or evicted because the queue is full, which may be the
+            offered one; None if there was room.
         """
 
     @abstractmethod
     def pop(self, now: float) -> Gather | None:
-        """Take out the search that is next, None where none may start now."""
+        """Remove and return the next search; None if none may start now."""
 
     @abstractmethod
     def remove(self, gather: Gather) -> None:
-        """Take out one search that left; nothing where it does not wait."""
+        """Remove one search; does nothing if it is not queued."""
 
     @abstractmethod
     def wait(self, firm: str, now: float) -> float:
-        """Return the seconds that a new search of this firm is expected to wait."""
+        """Return the expected wait of a new search of this firm, in seconds."""
 
 
 class FirmQueues:
-    """Waiting searches by firm, each firm's in the order of arrival."""
+    """Queued searches by firm, in the order of arrival within each firm."""
 
     __slots__ = ("_length", "_waiting")
 
@@ -121,40 +121,40 @@
 
     @property
     def firms(self) -> tuple[str, ...]:
-        """The firms with a waiting search, the one that has waited longest without a gap first."""
+        """The firms with queued searches, ordered by how long their queues have been non-empty."""
         return tuple(self._waiting)
 
     def backlog(self, firm: str) -> int:
-        """Return how many searches of a firm wait."""
+        """Return the number of queued searches of a firm."""
         return len(self._waiting.get(firm, ()))
 
     def first(self, firm: str) -> Gather:
-        """Return the search of a firm that has waited longest."""
+        """Return the oldest queued search of a firm."""
         return self._waiting[firm][0]
 
     def add(self, gather: Gather) -> None:
-        """Let a search wait behind its firm's others."""
+        """Append a search to its firm's queue."""
         self._waiting.setdefault(gather.search.firm, deque()).append(gather)
         self._length += 1
 
     def take_first(self, firm: str) -> Gather:
-        """Take out the search of a firm that has waited longest."""
-        return self._taken(firm, self._waiting[firm].popleft())
+        """Remove and return the oldest search of a firm."""
+        return self._removed(firm, self._waiting[firm].popleft())
 
     def take_newest(self, firm: str) -> Gather:
-        """Take out the search of a firm that came last."""
-        return self._taken(firm, self._waiting[firm].pop())
+        """Remove and return the newest search of a firm."""
+        return self._removed(firm, self._waiting[firm].pop())
 
     def remove(self, gather: Gather) -> bool:
-        """Take out one search; false where it does not wait."""
+        """Remove one search; return False if it is not queued."""
         firm = gather.search.firm
         if gather not in self._waiting.get(firm, ()):
             return False
         self._waiting[firm].remove(gather)
-        self._taken(firm, gather)
+        self._removed(firm, gather)
         return True
 
-    def _taken(self, firm: str, gather: Gather) -> Gather:
+    def _removed(self, firm: str, gather: Gather) -> Gather:
         self._length -= 1
         if not self._waiting[firm]:
             del self._waiting[firm]
@@ -162,19 +162,20 @@
 
 
 class FairQueue(AdmissionQueue):
-    """Base of the policies that keep one queue a firm and bound them together.
+    """Base class of the policies that keep one queue per firm, with a common length limit.
 
-    The bound is on all firms' searches together, so a firm may fill it while nobody else waits.
-    Once it is full, the firm that waits with most for its share gives up its newest search: a
-    flood then pushes out its own searches and never another firm's.
+    The limit applies to the searches of all firms together, so one firm may use all of it while no
+    other firm has queued searches. When the limit is exceeded, the firm with the longest queue
+    relative to its weight loses its newest search: a flooding firm evicts its own searches and
+    never those of another firm.
     """
 
-    __slots__ = ("_drains", "_waiting")
+    __slots__ = ("_drain_rates", "_waiting")
 
     def __init__(self, limits: AdmissionLimits) -> None:
         super().__init__(limits)
         self._waiting = FirmQueues()
-        self._drains: dict[str, DrainRate] = {}
+        self._drain_rates: dict[str, DrainRate] = {}
 
     def __len__(self) -> int:
         return len(self._waiting)
@@ -183,41 +184,43 @@
         return iter(self._waiting)
 
     def offer(self, gather: Gather) -> Gather | None:
-        """Let a search wait, in place of one of the firm that waits with most for its share."""
+        """Add a search; on overflow evict one of the firm with the highest weighted backlog."""
         firm = gather.search.firm
-        if firm in self._drains and not self._waiting.backlog(firm):
-            self._drains[firm].refilled()
+        if firm in self._drain_rates and not self._waiting.backlog(firm):
+            self._drain_rates[firm].refilled()
         self._waiting.add(gather)
         if len(self._waiting) <= self._limits.max_queue:
             return None
-        heaviest = max(self._waiting.firms, key=lambda other: (self._load(other), other == firm))
+        heaviest = max(
+            self._waiting.firms, key=lambda other: (self._weighted_backlog(other), other == firm)
+        )
         return self._waiting.take_newest(heaviest)
 
     def pop(self, now: float) -> Gather | None:
-        """Take out the first search of the firm that is next."""
+        """Remove and return the oldest search of the firm whose turn it is."""
         if not len(self):
             return None
         firm = self._next_firm(now)
         gather = self._waiting.take_first(firm)
-        self._drains.setdefault(firm, DrainRate()).started(now, self._waiting.backlog(firm))
+        self._drain_rates.setdefault(firm, DrainRate()).started(now, self._waiting.backlog(firm))
         return gather
 
     def remove(self, gather: Gather) -> None:
-        """Take out one search that left."""
+        """Remove one search, if it is queued."""
         self._waiting.remove(gather)
 
     def wait(self, firm: str, now: float) -> float:
-        """Return the seconds that a firm's own backlog takes at its own pace of late.
+        """Return how long a firm's backlog takes at the firm's own recent drain rate.
 
-        The pace has the other firms' turns in it, so a flooding firm is told the truth about its
-        own wait and a firm without backlog is not charged for another's.
+        The drain rate already includes the turns of the other firms. A flooding firm therefore
+        gets a realistic estimate, and a firm without a backlog is not affected by another's.
         """
-        drain = self._drains.get(firm, _UNUSED_DRAIN)
+        drain = self._drain_rates.get(firm, _INITIAL_DRAIN_RATE)
         return drain.wait(self._waiting.backlog(firm), now)
 
     @abstractmethod
     def _next_firm(self, now: float) -> str:
-        """Return the firm, of those with a waiting search, whose first search starts next."""
+        """Return the firm, of those with queued searches, whose oldest search starts next."""
 
-    def _load(self, firm: str) -> float:
+    def _weighted_backlog(self, firm: str) -> float:
         return self._waiting.backlog(firm) / self._limits.share(firm)
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/admissions_usage.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/admissions_usage.py
@@ -1,4 +1,4 @@
-"""Least recent use first."""
+"""Admission queue that prefers the firm with the least recent usage."""
 
 import math
 
@@ -9,32 +9,32 @@
 )
 from limpethollow_policy.request.gathers import Gather
 
-_WINDOW_SECONDS = 2.0
+_DECAY_SECONDS = 2.0
 
 
 class _Usage:
-    """Shards that a firm's searches took lately, fading exponentially."""
+    """Exponentially decaying sum of the shards that a firm's searches have used."""
 
-    __slots__ = ("_amount", "_at")
+    __slots__ = ("_amount", "_updated_at")
 
     def __init__(self) -> None:
         self._amount = 0.0
-        self._at = 0.0
+        self._updated_at = 0.0
 
     def add(self, amount: float, now: float) -> None:
         self._amount = self.at(now) + amount
-        self._at = now
+        self._updated_at = now
 
     def at(self, now: float) -> float:
-        return self._amount * math.exp((self._at - now) / _WINDOW_SECONDS)
+        return self._amount * math.exp((self._updated_at - now) / _DECAY_SECONDS)
 
 
 @admission_policy("least_usage")
 class LeastUsageQueue(FairQueue):
-    """The firm that used least of its share in the last seconds goes first.
+    """Starts the searches of the firm with the least recent usage relative to its weight first.
 
-    A firm under its share therefore keeps its bursts: what it left unused a moment ago counts for
-    it now, and a flooding firm gets the slots that are left.
+    A firm below its share can therefore still send bursts: capacity that it left unused a moment
+    ago gives it priority now, and a flooding firm gets the remaining slots.
     """
 
     __slots__ = ("_usage",)
@@ -44,7 +44,7 @@
         self._usage: dict[str, _Usage] = {}
 
     def pop(self, now: float) -> Gather | None:
-        """Take out the first search of the firm that is next, and charge the firm for it."""
+        """Remove the oldest search of the firm whose turn it is and add it to its usage."""
         gather = super().pop(now)
         if gather is not None:
             usage = self._usage.setdefault(gather.search.firm, _Usage())
@@ -52,8 +52,8 @@
         return gather
 
     def _next_firm(self, now: float) -> str:
-        return min(self._waiting.firms, key=lambda firm: self._used(firm, now))
+        return min(self._waiting.firms, key=lambda firm: self._weighted_usage(firm, now))
 
-    def _used(self, firm: str, now: float) -> float:
+    def _weighted_usage(self, firm: str, now: float) -> float:
         usage = self._usage.get(firm)
         return usage.at(now) / self._limits.share(firm) if usage else 0.0
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/admissions_waits.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/admissions_waits.py
@@ -1,46 +1,46 @@
-"""How long a new search would wait, from how fast waiting ones were started."""
+"""Estimates the wait of a new search from the rate at which queued searches are started."""
 
-_FIRST_INTERVAL = 0.005
+_INITIAL_INTERVAL = 0.005
 _SMOOTHING = 0.1
 
 
 class DrainRate:
-    """Seconds from one start of a waiting search to the next, while searches wait.
+    """Moving average of the interval between two starts of queued searches.
 
-    Measured at the exit of a queue, it covers whatever slows that queue: one slow searcher,
-    searches that take many calls each, or other firms' turns.
+    It is measured where searches leave the queue, so it includes everything that slows the queue
+    down: a slow searcher, searches that need many calls each, or the turns of other firms.
     """
 
-    __slots__ = ("_interval", "_last", "_others_waited")
+    __slots__ = ("_interval", "_last_start", "_had_backlog")
 
     def __init__(self) -> None:
-        self._interval = _FIRST_INTERVAL
-        self._last = 0.0
-        self._others_waited = False
+        self._interval = _INITIAL_INTERVAL
+        self._last_start = 0.0
+        self._had_backlog = False
 
     def started(self, now: float, still_waiting: int) -> None:
-        """Note that a search left the queue to run.
+        """Record that a search left the queue to run.
 
         Args:
-            now: Monotonic second.
-            still_waiting: Searches left behind.
+            now: Monotonic time in seconds.
+            still_waiting: Searches that remain in the queue.
         """
-        if self._others_waited:
-            self._interval += _SMOOTHING * (now - self._last - self._interval)
-        self._last = now
-        self._others_waited = still_waiting > 0
+        if self._had_backlog:
+            self._interval += _SMOOTHING * (now - self._last_start - self._interval)
+        self._last_start = now
+        self._had_backlog = still_waiting > 0
 
     def refilled(self) -> None:
-        """Note that a search waits where none did, so that the time without any does not count.
+        """Record that a search was added to an empty queue; the idle time before does not count.
 
-        A queue may empty without a start: searches expire, leave or give way.
+        A queue can become empty without a start: searches expire, are cancelled or are evicted.
         """
-        self._others_waited = False
+        self._had_backlog = False
 
     def wait(self, ahead: float, now: float) -> float:
-        """Return the seconds until a search with so many before it would start.
+        """Return the expected seconds until a search with `ahead` searches before it starts.
 
-        A queue that has stood still is expected to stand as long again.
+        A queue that has not moved for some time is expected to stay blocked for as long again.
         """
-        stood = now - self._last if ahead and self._others_waited else 0.0
-        return max(ahead * self._interval, stood)
+        blocked = now - self._last_start if ahead and self._had_backlog else 0.0
+        return max(ahead * self._interval, blocked)
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/answers.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/answers.py
@@ -1,4 +1,4 @@
-"""The one final answer of a search: its parts with their label, or a typed error."""
+"""The final answer of a search: its parts with their coverage, or a typed error."""
 
 from limpethollow_policy.process.replicas import ReplicaSet
 from limpethollow_policy.process.waits import WaitEstimate
@@ -12,20 +12,20 @@
     VersionGone,
 )
 
-_REFUSALS = {
-    "wait_too_long": "The wait would be longer than the deadline.",
-    "queue_full": "The queue is full.",
-    "gave_way": "The queue is full and the search gave way to a firm that uses less of its share.",
-    "waited_out": "The search waited out its deadline.",
+_REFUSAL_MESSAGES = {
+    "wait_too_long": "The expected wait in the queue exceeds the deadline.",
+    "queue_full": "The search queue is full.",
+    "gave_way": "The queue is full; the search was evicted for a firm that uses less of its share.",
+    "waited_out": "The deadline passed while the search was queued.",
 }
 
 
 class Verdicts:
-    """Turns what a search has collected into its answer.
+    """Builds the final answer of a search from the parts that it has collected.
 
     Args:
         replicas: The group's searchers.
-        waits: How long a refused caller should stay away.
+        waits: Estimates after how many seconds a refused caller should retry.
     """
 
     __slots__ = ("_replicas", "_waits")
@@ -39,42 +39,45 @@
 
         Args:
             gather: The search.
-            reason: Why shards that were neither covered nor given up on are missing.
-            now: Monotonic second.
+            reason: Reason reported for missing shards that have not failed themselves.
+            now: Monotonic time in seconds.
         """
         search = gather.search
         if not gather.is_pinned or search.versions_only:
-            return Refuse(search.id, self._no_snapshot(gather, now))
+            return Refuse(search.id, self._no_snapshot_error(gather, now))
         if search.pinned is not None and "version_gone" in gather.failures.values():
-            return Refuse(search.id, VersionGone(f"Version {search.pinned} is gone from a shard."))
+            return Refuse(
+                search.id,
+                VersionGone(f"Version {search.pinned} is no longer available on a shard."),
+            )
         if gather.is_answerable:
             return Complete(search.id, gather.answer(reason))
-        return Refuse(search.id, self._too_little(gather, reason, now))
+        return Refuse(search.id, self._coverage_error(gather, reason, now))
 
     def overloaded(self, firm: str, reason: str, now: float) -> Overloaded:
         """Return the error of a search that was never started.
 
         Args:
-            firm: Whose search it is.
-            reason: The refusal, as it is counted.
-            now: Monotonic second.
+            firm: The firm that sent the search.
+            reason: Key of the refusal, as counted in the metrics.
+            now: Monotonic time in seconds.
         """
         retry_after = self._waits.retry_after(now, firm)
-        return Overloaded(_REFUSALS[reason], retry_after=retry_after)
+        return Overloaded(_REFUSAL_MESSAGES[reason], retry_after=retry_after)
 
-    def _no_snapshot(self, gather: Gather, now: float) -> LimpethollowError:
+    def _no_snapshot_error(self, gather: Gather, now: float) -> LimpethollowError:
         retry_after = self._waits.retry_after(now)
         if not self._replicas.usable_holders(gather.search.shards, now):
-            return Unavailable("No searcher of the service can be used.", retry_after=retry_after)
+            return Unavailable("No searcher of the service is available.", retry_after=retry_after)
         if gather.search.min_version:
-            message = f"No replica set serves version {gather.search.min_version} yet."
+            message = f"Version {gather.search.min_version} is not available on all shards yet."
         else:
-            message = f"No searcher serves partition epoch {self._replicas.epoch} now."
+            message = f"No searcher serves partition epoch {self._replicas.epoch} at present."
         return VersionGone(
-            message, remedy="Come back after retry_after seconds.", retry_after=retry_after
+            message, remedy="Retry after retry_after seconds.", retry_after=retry_after
         )
 
-    def _too_little(self, gather: Gather, reason: str, now: float) -> LimpethollowError:
+    def _coverage_error(self, gather: Gather, reason: str, now: float) -> LimpethollowError:
         coverage = gather.answer(reason).coverage
         return CoverageTooLow(
             f"Only {len(coverage.covered)} of {coverage.wanted} shards answered.",
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/backoffs.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/backoffs.py
@@ -1,18 +1,18 @@
-"""Jittered back-off for calls that fail again and again."""
+"""Exponential back-off with jitter for repeated failures."""
 
 from random import Random
 
 
 class Backoff:
-    """Doubles the pause after each failure, with full jitter.
+    """Doubles the upper bound of the pause after each failure, with jitter.
 
-    Without jitter, all instances that lost the platform at the same moment come back to it at the
-    same moment, and it goes down again under their calls.
+    Without jitter, all instances that lost the platform at the same moment would reconnect at the
+    same moment and overload it again.
 
     Args:
         first: Upper bound of the first pause in seconds.
         longest: Upper bound of any pause in seconds.
-        rng: Source for jitter.
+        rng: Random generator for the jitter.
     """
 
     __slots__ = ("_bound", "_first", "_longest", "_rng")
@@ -24,11 +24,11 @@
         self._bound = first
 
     def failed(self) -> float:
-        """Count a failure and return the seconds to pause."""
+        """Record a failure and return the pause in seconds."""
         pause = self._bound * (0.5 + self._rng.random() / 2)
         self._bound = min(self._bound * 2, self._longest)
         return pause
 
     def succeeded(self) -> None:
-        """Start over."""
+        """Reset the pause to the first one."""
         self._bound = self._first
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/beliefs.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/beliefs.py
@@ -1,4 +1,4 @@
-"""What this instance believes of one kind of objects, at which revision of the platform's store."""
+"""Local copies of the objects of one kind, with their revision in the platform's store."""
 
 from collections import deque
 from collections.abc import Callable, Iterable, Mapping
@@ -9,20 +9,20 @@
 
 T = TypeVar("T")
 
-# Steps that are kept for others who missed them. One is made each 0.25 s at most, so these reach
-# 16 s back: longer than any instance goes without news, but for one that was frozen.
-_KEPT_STEPS = 64
+# Change sets that are kept for instances that missed them. There is at most one every 0.25 s, so
+# these cover the last 16 s: longer than any instance goes without updates, except a frozen one.
+_MAX_KEPT_STEPS = 64
 
 
 @dataclass(slots=True, frozen=True)
 class Step(Generic[T]):
-    """What changed between two revisions.
+    """The changes between two revisions.
 
     Attributes:
         base: Revision after which the changes happened.
-        revision: Revision up to which they are told.
-        put: Objects that came or changed, by name.
-        gone: Names of the objects that went.
+        revision: Last revision that they include.
+        put: Objects that were added or changed, by name.
+        gone: Names of the objects that were removed.
     """
 
     base: Revision
@@ -34,27 +34,28 @@
 class Belief(Generic[T]):
     """Objects of one kind by name, as they were at one revision of the store.
 
-    The store counts all its changes with one revision, so two sources can be compared: whatever is
-    newer wins, and nothing older is taken in after it, no matter how late it comes or from whom.
-    Changes lead from one revision to another of the same era; a new era begins with all objects.
+    The store numbers all its changes with one revision counter, so updates from any two sources can
+    be compared: the newer one wins, and an older one is ignored, however late it arrives and
+    whoever sent it. A change set leads from one revision to another of the same era; a new era
+    begins with a full list of objects.
 
     Args:
-        put: Called with each object that came or changed.
-        gone: Called with the name of each object that went.
-        applied: Called after the objects of one piece of news.
+        put: Called with each object that was added or changed.
+        gone: Called with the name of each object that was removed.
+        applied: Called after all objects of one update.
 
     Attributes:
-        items: The objects.
+        items: The objects by name.
         revision: Revision up to which they are known.
         changed_at: Revision of their last change.
-        begins_era: Whether the news being taken in are the first of a new era; objects that went,
-            came back or changed may be ones whose last writes the store has lost.
+        begins_era: Whether the update being applied is the first of a new era. Objects that it
+            removes, restores or changes may be ones whose last writes the store has lost.
     """
 
     __slots__ = (
-        "_applied",
-        "_gone",
-        "_put",
+        "_on_applied",
+        "_on_gone",
+        "_on_put",
         "_steps",
         "begins_era",
         "changed_at",
@@ -68,10 +69,10 @@
         gone: Callable[[str], None],
         applied: Callable[[], None] = lambda: None,
     ) -> None:
-        self._put = put
-        self._gone = gone
-        self._applied = applied
-        self._steps: deque[Step[T]] = deque(maxlen=_KEPT_STEPS)
+        self._on_put = put
+        self._on_gone = gone
+        self._on_applied = applied
+        self._steps: deque[Step[T]] = deque(maxlen=_MAX_KEPT_STEPS)
         self.items: dict[str, T] = {}
         self.revision = NOTHING_KNOWN
         self.changed_at = NOTHING_KNOWN
@@ -79,11 +80,11 @@
 
     @property
     def is_known(self) -> bool:
-        """Return whether any news were taken in."""
+        """Return whether any update was applied."""
         return self.revision != NOTHING_KNOWN
 
     def replace(self, items: Mapping[str, T], revision: Revision) -> bool:
-        """Take in all objects at a revision; return whether they are not older than the belief."""
+        """Apply a full list of objects; return False if it is older than the current revision."""
         if revision < self.revision:
             return False
         gone = [name for name in self.items if name not in items]
@@ -94,16 +95,16 @@
     def change(
         self, base: Revision, revision: Revision, put: Mapping[str, T], gone: Iterable[str]
     ) -> bool:
-        """Take in the changes between two revisions.
+        """Apply the changes between two revisions.
 
         Args:
             base: Revision after which the changes happened.
-            revision: Revision up to which they are told.
-            put: Objects that came or changed.
-            gone: Names of the objects that went.
+            revision: Last revision that they include.
+            put: Objects that were added or changed.
+            gone: Names of the objects that were removed.
 
         Returns:
-            False where changes before `base` are missing here; all objects are needed then.
+            False if changes before `base` are missing here, so that a full list is needed.
         """
         if revision <= self.revision:
             return True
@@ -113,7 +114,7 @@
         return True
 
     def since(self, revision: Revision) -> Step[T] | None:
-        """Return all changes after a revision as one step; None where they are not kept."""
+        """Return all changes after a revision merged into one; None if they are not kept."""
         steps = [step for step in self._steps if step.revision > revision]
         if not steps or steps[0].base > revision:
             return None
@@ -127,7 +128,8 @@
 
     def _apply(self, put: Mapping[str, T], gone: list[str], revision: Revision) -> None:
         if revision.era != self.revision.era or not self.is_known:
-            # The first list counts as a change even if it is empty: others that have none ask.
+            # The first list counts as a change even if it is empty: instances without one request
+            # it.
             self._steps.clear()
             self.changed_at = revision
             self.begins_era = self.is_known
@@ -135,15 +137,15 @@
             self.changed_at = revision
             self._steps.append(Step(self.revision, revision, put, gone))
         self.revision = revision
-        self._tell(put, gone)
+        self._notify(put, gone)
         self.begins_era = False
 
-    def _tell(self, put: Mapping[str, T], gone: list[str]) -> None:
+    def _notify(self, put: Mapping[str, T], gone: list[str]) -> None:
         for name in gone:
             del self.items[name]
         self.items.update(put)
         for name in gone:
-            self._gone(name)
+            self._on_gone(name)
         for item in put.values():
-            self._put(item)
-        self._applied()
+            self._on_put(item)
+        self._on_applied()
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/callbudgets.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/callbudgets.py
@@ -1,22 +1,22 @@
-"""How many calls of each kind an instance may make to the platform."""
+"""Rate limits for the calls of an instance to the platform."""
 
 from dataclasses import dataclass
 
 
 @dataclass(slots=True, frozen=True)
 class CallRate:
-    """Bound on one kind of call.
+    """Rate limit of one kind of call.
 
     Attributes:
-        per_second: Calls a second in the long run.
-        burst: Calls that may come at once.
+        per_second: Average number of calls per second.
+        burst: Maximum number of calls at once.
     """
 
     per_second: float
     burst: float
 
 
-# A watch that comes back at once with news is begun anew at once, hence its burst.
+# A watch that returns changes immediately is restarted immediately, hence its burst.
 DEFAULT_RATES = {
     "watch": CallRate(5.0, 20.0),
     "instances": CallRate(2.0, 20.0),
@@ -27,43 +27,44 @@
 
 
 class CallBudget:
-    """A token bucket for each kind of call.
+    """Token buckets, one for each kind of call.
 
-    Without it, a defect or a flapping view that makes an instance call in a loop would take the
-    platform's few hundred writes and two thousand reads a second from the whole fleet.
+    Without them, a defect or a flapping state that makes one instance call in a loop would use up
+    the platform's capacity of a few hundred writes and two thousand reads a second, which all
+    instances share.
 
     Args:
-        rates: Bound by kind of call.
+        rates: Rate limit by kind of call.
     """
 
-    __slots__ = ("_levels", "_rates")
+    __slots__ = ("_buckets", "_rates")
 
     def __init__(self, rates: dict[str, CallRate]) -> None:
         self._rates = rates
-        self._levels: dict[str, tuple[float, float]] = {}
+        self._buckets: dict[str, tuple[float, float]] = {}
 
     def take(self, kind: str, now: float) -> float:
-        """Take one call.
+        """Take a token for one call.
 
         Returns:
-            0 where it may be made, or the seconds until one may.
+            0 if the call may be made, else the seconds until the next one may.
         """
         rate = self._rates[kind]
-        level, since = self._levels.get(kind, (rate.burst, now))
+        level, since = self._buckets.get(kind, (rate.burst, now))
         level = min(rate.burst, level + (now - since) * rate.per_second)
         if level < 1.0:
-            self._levels[kind] = (level, now)
+            self._buckets[kind] = (level, now)
             return (1.0 - level) / rate.per_second
-        self._levels[kind] = (level - 1.0, now)
+        self._buckets[kind] = (level - 1.0, now)
         return 0.0
 
 
 class RetryBudget:
-    """Allows retries as a share of successes, so that retries can't multiply an outage's load.
+    """Limits retries to a share of the successes, so that they can't amplify an outage.
 
     Args:
-        share: Retries earned by one success.
-        limit: Retries that may be saved up; also what a fresh instance starts with.
+        share: Retries added by one success.
+        limit: Maximum number of retries in the budget, and its initial value.
     """
 
     __slots__ = ("_left", "_limit", "_share")
@@ -74,11 +75,11 @@
         self._left = limit
 
     def succeeded(self) -> None:
-        """Earn a share of a retry."""
+        """Record a success, which adds a share of a retry."""
         self._left = min(self._limit, self._left + self._share)
 
     def take(self) -> bool:
-        """Take one retry; false where none is left."""
+        """Take one retry; return False if none is left."""
         if self._left < 1.0:
             return False
         self._left -= 1.0
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/calls.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/calls.py
@@ -1,4 +1,4 @@
-"""The calls on their way to searchers, and the work that each of them will bring back."""
+"""The open calls to searchers, and the shards that each of them was asked for."""
 
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass, field
@@ -11,19 +11,19 @@
 
 @dataclass(slots=True, eq=False)
 class OpenCall:
-    """A call on its way.
+    """A call to a searcher that has not ended.
 
     Attributes:
-        id: Name of the call.
-        searcher: Where it went.
-        started: Monotonic second it was sent.
-        snapshot: Snapshot asked for.
-        work: Shards asked for, by query key; empty for an inventory call.
-        hedge: Whether it repeats work that another call was still doing.
-        hedged: Shards by query key that another call repeats.
-        cancelled: Whether its cancellation was asked for.
-        repeat_is_paid: Whether its failure has taken a retry out of the budget.
-        to_doubtful: Whether its searcher's last call before it had failed.
+        id: Identifier of the call.
+        searcher: The searcher that it was sent to.
+        started: Monotonic time at which it was sent, in seconds.
+        snapshot: Requested snapshot.
+        work: Requested shards by query key; empty for an inventory call.
+        hedge: Whether it duplicates work of a call that was still open.
+        hedged: Pairs of query key and shard that another call duplicates.
+        cancelled: Whether its cancellation was requested.
+        repeat_is_paid: Whether a retry was already taken from the budget for its failure.
+        to_doubtful: Whether the previous call to its searcher had failed.
     """
 
     id: str
@@ -39,23 +39,23 @@
 
     @property
     def is_inventory(self) -> bool:
-        """Whether the call asks only for the searcher's index versions."""
+        """Whether the call only requests the searcher's index versions."""
         return not self.work
 
 
 class CallTable:
-    """All open calls of one group, found by id or by the work they do.
+    """All open calls of one group, indexed by id and by the requested work.
 
-    Work is named by query key, snapshot and shard and not by search, so that a search joins the
-    calls that others already made for the same query on the same snapshot.
+    Work is identified by query key, snapshot and shard instead of by search, so that searches with
+    the same query on the same snapshot share their calls.
     """
 
-    __slots__ = ("_busy", "_calls", "_next")
+    __slots__ = ("_open_counts", "_calls", "_last_id")
 
     def __init__(self) -> None:
         self._calls: dict[str, OpenCall] = {}
-        self._busy: dict[tuple[str, Snapshot], dict[int, int]] = {}
-        self._next = 0
+        self._open_counts: dict[tuple[str, Snapshot], dict[int, int]] = {}
+        self._last_id = 0
 
     def __len__(self) -> int:
         return len(self._calls)
@@ -64,45 +64,45 @@
         return iter(tuple(self._calls.values()))
 
     def open(self, searcher: SearcherState, snapshot: Snapshot, work: Work, now: float) -> OpenCall:
-        """Add a call; an inventory call has no work and takes no slot."""
-        self._next += 1
-        call = OpenCall(str(self._next), searcher, now, snapshot, work)
+        """Add a call; an inventory call has no work and occupies no slot."""
+        self._last_id += 1
+        call = OpenCall(str(self._last_id), searcher, now, snapshot, work)
         call.to_doubtful = searcher.is_doubtful
         self._calls[call.id] = call
         if not call.is_inventory:
             searcher.call_started(call.id, now)
-        self._add(call, 1)
+        self._count_work(call, 1)
         return call
 
     def end(self, call_id: str) -> OpenCall | None:
-        """Take a call out; None where it ended before, so that no reply counts twice."""
+        """Remove a call; None if it has already ended, so that no reply counts twice."""
         call = self._calls.pop(call_id, None)
         if call is None:
             return None
         call.searcher.call_ended(call_id)
         if not call.cancelled:
-            self._add(call, -1)
+            self._count_work(call, -1)
         return call
 
     def cancel(self, call: OpenCall) -> None:
-        """Count on a call no longer; it keeps its slot until it ends."""
+        """Stop waiting for the results of a call; it keeps its slot until it ends."""
         call.cancelled = True
-        self._add(call, -1)
+        self._count_work(call, -1)
 
     def busy_shards(self, key: str, snapshot: Snapshot) -> frozenset[int]:
-        """Return the shards that some open call will bring for a query on a snapshot."""
-        return frozenset(self._busy.get((key, snapshot), ()))
+        """Return the shards requested by open calls for a query on a snapshot."""
+        return frozenset(self._open_counts.get((key, snapshot), ()))
 
     def asks_inventory_of(self, searcher: SearcherState) -> bool:
-        """Return whether a call for the searcher's index versions is open."""
+        """Return whether an inventory call to the searcher is open."""
         return any(c.is_inventory and c.searcher is searcher for c in self._calls.values())
 
-    def _add(self, call: OpenCall, amount: int) -> None:
+    def _count_work(self, call: OpenCall, amount: int) -> None:
         for key, shards in call.work.items():
-            busy = self._busy.setdefault((key, call.snapshot), {})
+            counts = self._open_counts.setdefault((key, call.snapshot), {})
             for shard in shards:
-                busy[shard] = busy.get(shard, 0) + amount
-                if not busy[shard]:
-                    del busy[shard]
-            if not busy:
-                del self._busy[key, call.snapshot]
+                counts[shard] = counts.get(shard, 0) + amount
+                if not counts[shard]:
+                    del counts[shard]
+            if not counts:
+                del self._open_counts[key, call.snapshot]
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/catchups.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/catchups.py
@@ -1,30 +1,30 @@
-"""When an instance asks a peer for news that it lacks, and which peer."""
+"""When an instance requests missing updates from a peer, and from which peer."""
 
 from collections.abc import Collection
 from dataclasses import dataclass
 
 from limpethollow_policy.process.revisions import Revision
 
-# News come within milliseconds from the relay in the own failure domain, or from the store at a
-# start. Only what is still missing after this long is asked for: an answer may be 100 kB long, and
-# sending it unasked on each new link made up most of the bytes between failure domains when 63
-# instances were restarted in turn (57 of 183 MB, and versions 73 MB).
+# Updates usually arrive within milliseconds from the relay in the own failure domain, or from the
+# store at a start. Only what is still missing after this delay is requested: an answer can take
+# 100 kB, and sending it unrequested on each new link caused most of the traffic between failure
+# domains in a rolling restart of 63 instances (57 of 183 MB, and 73 MB for versions).
 LACKING_SECONDS = 0.1
-# A peer that was asked has this long; then another one is asked.
+# Time in which a peer must answer before another one is asked.
 ANSWER_SECONDS = 0.5
 
 
 @dataclass(slots=True, frozen=True)
 class Known:
-    """How much an instance knows.
+    """The configuration version and the revisions that an instance has.
 
     Attributes:
-        version: Number of its configuration version; -1 where it knows none.
-        searchers: Number of the last revision of searchers that it knows.
-        instances: The same of instances.
-        evacuations: The same of evacuated failure domains.
-        era: Era of these revisions; a kind that it knows in an older era only has number 0.
-            Releases that don't know of eras leave it out, and count as older than any that do.
+        version: Number of its configuration version; -1 if it has none.
+        searchers: Number of its last revision of the searchers.
+        instances: Number of its last revision of the instances.
+        evacuations: Number of its last revision of the evacuated failure domains.
+        era: Era of these revisions; a kind that it only has in an older era has number 0.
+            Releases without support for eras omit it, and count as older than any with it.
     """
 
     version: int = -1
@@ -37,18 +37,18 @@
     def of(
         cls, version: int, searchers: Revision, instances: Revision, evacuations: Revision
     ) -> "Known":
-        """Return what is known, given the revision of each kind."""
+        """Build the object from the revision of each kind."""
         era = max(searchers.era, instances.era, evacuations.era)
         numbers = (r.number if r.era == era else 0 for r in (searchers, instances, evacuations))
         return cls(version, *numbers, era)
 
     @property
     def can_serve(self) -> bool:
-        """Return whether callers can be served by it."""
+        """Return whether it is enough to serve callers."""
         return self.version >= 0 and self.searchers > 0
 
     def is_ahead_of(self, other: "Known") -> bool:
-        """Return whether it holds something that is newer than all that the other knows."""
+        """Return whether the version or any revision is newer than the other's."""
         kinds = (
             (self.searchers, other.searchers),
             (self.instances, other.instances),
@@ -65,12 +65,12 @@
 
 @dataclass(slots=True)
 class Source:
-    """A peer that could be asked.
+    """A peer that can be asked for updates.
 
     Attributes:
-        known: What it said that it knows.
+        known: The version and revisions that it reported.
         far: Whether it runs in another failure domain.
-        asked_at: When it was asked last, in monotonic seconds.
+        asked_at: Monotonic time of the last request to it, in seconds.
     """
 
     known: Known = Known()
@@ -79,9 +79,10 @@
 
 
 def source_for(own: Known, sources: Collection[Source], now: float) -> Source | None:
-    """Return the peer to ask now; None where nobody is ahead.
+    """Return the peer to ask now; None if no peer is ahead.
 
-    One is asked at a time: those that were not asked of late go first, and of these the near ones.
+    One peer is asked at a time: peers not asked recently come first, and among these the ones in
+    the own failure domain.
     """
     ahead = [source for source in sources if source.known.is_ahead_of(own)]
     return min(
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/changepaces.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/changepaces.py
@@ -1,22 +1,24 @@
-"""How long a follower of the store waits after changes before it reads the next ones."""
+"""Delay between two reads of changes by a follower of the store."""
 
-# Changes that come within this time cost one call to the store. A searcher whose entry has gone
-# stays a last choice for a while, and all must end before the time that it was given to leave.
+# Changes that arrive within this time are read with one call to the store. A searcher whose entry
+# is removed stays in use as a last choice for a while, and all calls to it must end before the time
+# that it was given to leave is over.
 FIRST_SECONDS = 0.25
-# When the whole system starts for the first time, the pause doubles up to this while changes go on.
+# Upper bound of the pause, which doubles while changes continue at the first start of the system.
 LONGEST_SECONDS = 1.0
 
 
 class ChangePace:
-    """Reads changes soon, but those of a first start less and less often.
+    """Chooses short pauses between reads, and growing ones during the first start of the system.
 
-    Searchers that start together register one by one: six followers made some 110 calls in five
-    seconds to hear of 186 of them, each a quarter of a second after the one before. With pauses
-    that double they made 45.
+    Searchers that start together register one by one: with a fixed pause of a quarter of a second,
+    six followers made some 110 calls in five seconds to read the entries of 186 searchers. With
+    doubling pauses they made 45.
 
     Args:
-        slow_until: Monotonic second until which nobody calls yet. After it a searcher that leaves
-            would get requests past its time if its news were a second late.
+        slow_until: Monotonic time until which no requests are expected, in seconds. After it, a
+            searcher that leaves would get requests after its end if its change were read a second
+            late.
     """
 
     __slots__ = ("_changed_at", "_pause", "_slow_until")
@@ -27,7 +29,7 @@
         self._pause = FIRST_SECONDS
 
     def changed(self, now: float) -> float:
-        """Take in that changes were read; return how many seconds to wait before the next call."""
+        """Record that changes were read; return the seconds to wait before the next call."""
         if now >= self._slow_until or now - self._changed_at > 2 * self._pause:
             self._pause = FIRST_SECONDS
         else:
