--- a/packages/limpethollow-policy/src/limpethollow_policy/process/choices.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/choices.py
@@ -1,4 +1,4 @@
-"""Replica choices: which of several searchers that could serve a call gets it."""
+"""Replica selection: which of several suitable searchers gets a call."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -9,14 +9,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Candidate:
-    """A searcher with a free slot that could serve a call.
+    """A searcher with a free slot that can serve a call.
 
     Attributes:
-        fresh: Shards that it serves and did not fail for this search before.
-        serves: Shards that it serves.
-        wait: Seconds that one more call to it is expected to take.
-        straggles: Whether another searcher that serves some of the shards, busy or not, is expected
-            to be done far sooner.
+        fresh: Number of its shards for which it has not failed this search before.
+        serves: Number of the requested shards that it serves.
+        wait: Expected duration of one more call to it, in seconds.
+        straggles: Whether another searcher of some of the shards, busy or not, is expected to
+            finish far sooner.
         may_wait: Whether the call may wait for a slot of another searcher.
     """
 
@@ -35,8 +35,8 @@
 def replica_choice(name: str) -> Callable[[ReplicaScore], ReplicaScore]:
     """Register a replica choice under the name that configurations use.
 
-    It returns a candidate's score, the highest of which is chosen, or None where it is better to
-    wait for another searcher.
+    The function returns the score of a candidate, of which the highest wins, or None if it is
+    better to wait for another searcher.
     """
 
     def register(score: ReplicaScore) -> ReplicaScore:
@@ -62,11 +62,11 @@
 
 @replica_choice("shortest_wait")
 def shortest_wait(candidate: Candidate, rng: Random) -> tuple[float, ...] | None:
-    """Prefer few calls, and among equals the shortest expected wait.
+    """Prefer the candidates that need the fewest calls, then the shortest expected wait.
 
-    A searcher that failed this search for all its shards comes last, and a straggler before it. A
-    straggler's free slot is left free while a faster replica's may be waited for: taking it would
-    only make the call due for a hedge.
+    A searcher that failed this search for all its shards ranks last, and a straggler just before
+    it. A straggler's free slot is not used while the call may wait for a faster replica, because
+    the call would only have to be hedged.
     """
     if candidate.straggles and candidate.may_wait:
         return None
@@ -82,5 +82,5 @@
 
 @replica_choice("random")
 def at_random(candidate: Candidate, rng: Random) -> tuple[float, ...]:
-    """Choose any searcher that serves a shard: the baseline of `docs/ADMISSION.md`."""
+    """Choose a random candidate: the baseline of `docs/ADMISSION.md`."""
     return (rng.random(),)
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/crashes.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/crashes.py
@@ -1,31 +1,33 @@
-"""Requests under which searchers end: the evidence on each, and which may not run any more."""
+"""Detects requests that crash searchers, from the connections lost while they ran."""
 
 from collections.abc import Collection
 from dataclasses import dataclass
 from enum import Enum
 
-# Searchers that must have ended under a request before it counts as their cause.
-_LOST_TO_SUSPECT = 3
-# How many of them must have run it on trial. One end may be a coincidence: others crash them too.
-_TRIALS_TO_QUARANTINE = 2
-# Ids that are kept and told of one request; more would prove nothing more.
-_MOST_SEARCHERS = 32
-# Requests that are kept. The oldest go first, suspects before quarantined ones.
-_MOST_REQUESTS = 256
+# Number of searchers that must have ended during a request before it is suspected as the cause.
+_SUSPECT_THRESHOLD = 3
+# How many of them must have run it on trial. A single one may be a coincidence, because other
+# requests crash searchers, too.
+_QUARANTINE_THRESHOLD = 2
+# Maximum number of ids that are kept and sent for one request; more would add no evidence.
+_MAX_SEARCHERS = 32
+# Maximum number of requests that are kept. The oldest are evicted first, and suspected ones before
+# quarantined ones.
+_MAX_REQUESTS = 256
 _SUSPECT_SECONDS = 600.0
 QUARANTINE_SECONDS = 86_400.0
-# After this long a quarantined request gets one more trial: its searchers may have ended by
-# chance, and nothing else would show that.
+# After this time a quarantined request gets one more trial: its searchers may have ended by
+# coincidence, and only another run can show that.
 RETRIAL_SECONDS = 60.0
 
 
 class Standing(Enum):
-    """How far a request is trusted.
+    """Whether a request may run, and how.
 
     Attributes:
-        TRUSTED: It runs as usual.
-        SUSPECT: It runs at one searcher at a time until one answers.
-        QUARANTINED: It doesn't run.
+        TRUSTED: It runs without restrictions.
+        SUSPECT: It runs on one searcher at a time until one answers.
+        QUARANTINED: It is not run.
     """
 
     TRUSTED = "trusted"
@@ -35,14 +37,14 @@
 
 @dataclass(slots=True, frozen=True)
 class CrashEvidence:
-    """Searchers whose connections ended under a request before any reply, while none answered it.
+    """Searchers whose connections ended during a request that no searcher has answered.
 
     Attributes:
-        searchers: The runs of searchers that ended.
-        on_trial: Those of them that ran it on trial: on a connection that was known to work, and
-            one at a time.
-        epoch: How often the request was released: by an answer, or by an operator. Evidence of an
-            earlier epoch counts no more.
+        searchers: The searcher processes whose connections ended before a reply.
+        on_trial: Those of them that ran the request on trial: one at a time, on a connection that
+            was known to work.
+        epoch: How often the request was released by an answer or by an operator. Evidence of an
+            earlier epoch no longer counts.
     """
 
     searchers: frozenset[str] = frozenset()
@@ -54,37 +56,37 @@
 
     @property
     def standing(self) -> Standing:
-        """Return how far it lets the request be trusted."""
-        if len(self.searchers) < _LOST_TO_SUSPECT:
+        """Return the standing of the request according to this evidence."""
+        if len(self.searchers) < _SUSPECT_THRESHOLD:
             return Standing.TRUSTED
-        if len(self.on_trial) < _TRIALS_TO_QUARANTINE:
+        if len(self.on_trial) < _QUARANTINE_THRESHOLD:
             return Standing.SUSPECT
         return Standing.QUARANTINED
 
     def with_lost(self, searcher: str, *, on_trial: bool) -> "CrashEvidence":
-        """Return this and one more searcher."""
+        """Return this evidence with one more searcher."""
         more = frozenset((searcher,))
         return self.merged(CrashEvidence(more, more if on_trial else frozenset(), self.epoch))
 
     def released(self) -> "CrashEvidence":
-        """Return what is left of it once the request is released."""
+        """Return the evidence that remains after the request is released."""
         return CrashEvidence(epoch=self.epoch + 1)
 
     def without_trials(self) -> "CrashEvidence":
-        """Return what is left of it once its trials turn out to prove nothing."""
+        """Return the evidence that remains after the trials were found inconclusive."""
         return CrashEvidence(self.searchers, epoch=self.epoch + 1)
 
     def unexplained(self, searchers: frozenset[str]) -> "CrashEvidence":
-        """Return what is left of it without some searchers, whose ends had another cause."""
+        """Return this evidence without searchers whose ends had another cause."""
         return CrashEvidence(self.searchers - searchers, self.on_trial - searchers, self.epoch)
 
     def merged(self, other: "CrashEvidence") -> "CrashEvidence":
-        """Return this and other evidence, those on trial first where there are too many."""
+        """Return the union of both; searchers on trial take precedence if there are too many."""
         if self.epoch != other.epoch:
             return max(self, other, key=lambda evidence: evidence.epoch)
-        on_trial = sorted(self.on_trial | other.on_trial)[:_MOST_SEARCHERS]
+        on_trial = sorted(self.on_trial | other.on_trial)[:_MAX_SEARCHERS]
         others = sorted((self.searchers | other.searchers).difference(on_trial))
-        searchers = [*on_trial, *others][:_MOST_SEARCHERS]
+        searchers = [*on_trial, *others][:_MAX_SEARCHERS]
         return CrashEvidence(frozenset(searchers), frozenset(on_trial), self.epoch)
 
 
@@ -106,12 +108,12 @@
 
 @dataclass(slots=True)
 class _Record:
-    """What is known of one request.
+    """The evidence on one request, with its last change.
 
     Attributes:
         evidence: The evidence.
-        changed_at: When the last of it came in.
-        was_retried: Whether this instance has given it one more trial since.
+        changed_at: Monotonic time of the last new evidence, in seconds.
+        was_retried: Whether this instance has granted one more trial since then.
     """
 
     evidence: CrashEvidence
@@ -122,8 +124,9 @@
 class CrashLedger:
     """The evidence on all requests, from this instance and from others.
 
-    Evidence of one epoch is only ever added up, and a later epoch replaces an earlier one. So
-    instances that were told in another order, or twice, come to the same conclusion.
+    Evidence of the same epoch is merged and never reduced, and a later epoch replaces an earlier
+    one. Instances that receive reports in a different order, or twice, therefore reach the same
+    result.
     """
 
     __slots__ = ("_records",)
@@ -139,28 +142,28 @@
     def grant_retrial(self, fingerprint: str, now: float) -> bool:
         """Return whether a quarantined request may run once more, on trial.
 
-        One such trial that fails is evidence for all instances, and the last.
+        If this trial fails, too, it is evidence for all instances, and no more trials follow.
         """
         record = self._records.get(fingerprint)
         if record is None or record.was_retried:
             return False
-        is_first = len(record.evidence.on_trial) == _TRIALS_TO_QUARANTINE
+        is_first = len(record.evidence.on_trial) == _QUARANTINE_THRESHOLD
         record.was_retried = is_first and now - record.changed_at >= RETRIAL_SECONDS
         return record.was_retried
 
     def reports(self) -> list[CrashReport]:
-        """Return all evidence, for an instance that may lack it."""
+        """Return all evidence, to be sent to an instance that may lack it."""
         return [CrashReport(name, record.evidence) for name, record in self._records.items()]
 
     def seconds_left(self, fingerprint: str, now: float) -> float:
-        """Return for how long a request is still quarantined."""
+        """Return the seconds for which a request stays quarantined."""
         record = self._records.get(fingerprint)
         if record is None or record.evidence.standing is not Standing.QUARANTINED:
             return 0.0
         return max(0.0, record.changed_at + QUARANTINE_SECONDS - now)
 
     def quarantined(self) -> Collection[str]:
-        """Return the fingerprints of the requests that may not run."""
+        """Return the fingerprints of the quarantined requests."""
         return [name for name, record in self._records.items() if _is_quarantined(record)]
 
     def add(self, report: CrashReport, now: float) -> bool:
@@ -169,17 +172,17 @@
         merged = known.merged(report.evidence)
         if merged == known:
             return False
-        # Moved to the end: the order of records is that of their last changes.
+        # Reinserted at the end, so that the records are ordered by their last changes.
         self._records.pop(report.fingerprint, None)
         self._records[report.fingerprint] = _Record(merged, now)
-        self._make_room()
+        self._evict_oldest()
         return True
 
     def release(self, fingerprint: str, now: float) -> CrashReport | None:
-        """Let a request run as usual again, as a searcher answered it or an operator wants it.
+        """Release a request after a searcher answered it, or on an operator's order.
 
         Returns:
-            What others must know of that; None where there is no evidence against it.
+            The report for the other instances; None if there is no evidence on the request.
         """
         evidence = self.evidence(fingerprint)
         if not evidence:
@@ -189,42 +192,43 @@
         return report
 
     def explained(self) -> list[str]:
-        """Return the quarantined requests that would not be without the ends another one explains.
+        """Return the quarantined requests whose evidence is explained by other requests.
 
-        Requests that ran on the same searchers lose their connections together. Of them, the one
-        that was released least often is to blame, or else that under which most searchers ended.
+        Requests that ran on the same searchers lose their connections together. Of these, the one
+        that was released least often counts as the cause; among equals, the one during which most
+        searchers ended. Requests that would not be quarantined without these ends are returned.
         """
         suspects = [(name, self._records[name].evidence) for name in self.quarantined()]
         suspects.sort(key=lambda each: (each[1].epoch, -len(each[1].searchers), each[0]))
-        blamed: frozenset[str] = frozenset()
+        attributed: frozenset[str] = frozenset()
         found = []
         for name, evidence in suspects:
-            if evidence.unexplained(blamed).standing is Standing.QUARANTINED:
-                blamed |= evidence.searchers
+            if evidence.unexplained(attributed).standing is Standing.QUARANTINED:
+                attributed |= evidence.searchers
             else:
                 found.append(name)
         return found
 
     def try_again(self, fingerprint: str, now: float) -> CrashReport:
-        """Let a request run on trial again, as its trials proved nothing.
+        """Discard a request's trials, which were inconclusive, so that it runs on trial again.
 
         Returns:
-            What others must know of that.
+            The report for the other instances.
         """
         report = CrashReport(fingerprint, self.evidence(fingerprint).without_trials())
         self.add(report, now)
         return report
 
     def expire(self, now: float) -> list[str]:
-        """Forget what is too old; return the fingerprints of the requests that may run again."""
-        old = [name for name, record in self._records.items() if _is_over(record, now)]
+        """Drop expired records; return the fingerprints of requests that may run again."""
+        old = [name for name, record in self._records.items() if _is_expired(record, now)]
         released = [name for name in old if _is_quarantined(self._records[name])]
         for name in old:
             del self._records[name]
         return released
 
-    def _make_room(self) -> None:
-        if len(self._records) > _MOST_REQUESTS:
+    def _evict_oldest(self) -> None:
+        if len(self._records) > _MAX_REQUESTS:
             oldest = next(iter(self._records))
             suspects = (n for n, record in self._records.items() if not _is_quarantined(record))
             del self._records[next(suspects, oldest)]
@@ -234,6 +238,6 @@
     return record.evidence.standing is Standing.QUARANTINED
 
 
-def _is_over(record: _Record, now: float) -> bool:
+def _is_expired(record: _Record, now: float) -> bool:
     lifetime = QUARANTINE_SECONDS if _is_quarantined(record) else _SUSPECT_SECONDS
     return now - record.changed_at > lifetime
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/departures.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/departures.py
@@ -1,48 +1,48 @@
-"""Searchers that left of late, for when the store comes back without that news."""
+"""Searchers that left recently, in case the store is restored from a copy without that change."""
 
 from dataclasses import dataclass
 
 from limpethollow_policy.process.searchers import Searcher
 
-# Longer than an outage of the store and the age of the copy that it comes back from.
+# Longer than an outage of the store plus the age of the copy from which it is restored.
 _KEPT_SECONDS = 60.0
 
 
 @dataclass(slots=True, frozen=True)
 class _Departure:
-    """A searcher as it was when it left, and the monotonic second of that."""
+    """A searcher as it was when it left, and the monotonic time of that in seconds."""
 
     searcher: Searcher
     at: float
 
 
 class Departures:
-    """Remembers which processes of searchers were seen to drain, or to lose their entry."""
+    """Records which searcher processes were draining or had their entry removed recently."""
 
-    __slots__ = ("_left",)
+    __slots__ = ("_departures",)
 
     def __init__(self) -> None:
-        self._left: dict[str, _Departure] = {}
+        self._departures: dict[str, _Departure] = {}
 
     def add(self, searcher: Searcher, now: float) -> None:
-        """Note that a searcher drains, or has no entry any more."""
-        self._left[searcher.id] = _Departure(searcher, now)
+        """Record that a searcher is draining or that its entry was removed."""
+        self._departures[searcher.id] = _Departure(searcher, now)
 
     def discard(self, searcher: Searcher) -> None:
-        """Note that the store lists a searcher as ready, with nothing lost before."""
-        self._left.pop(searcher.id, None)
+        """Record that the store lists a searcher as ready and has lost no writes before that."""
+        self._departures.pop(searcher.id, None)
 
     def has(self, searcher: Searcher) -> bool:
-        """Return whether this process of a searcher left of late."""
-        left = self._left.get(searcher.id)
-        return left is not None and left.searcher.incarnation == searcher.incarnation
+        """Return whether this process of a searcher left recently."""
+        departure = self._departures.get(searcher.id)
+        return departure is not None and departure.searcher.incarnation == searcher.incarnation
 
     def has_drained(self, searcher: Searcher) -> bool:
-        """Return whether this process of a searcher said of late that it drains."""
-        return self.has(searcher) and self._left[searcher.id].searcher.draining
+        """Return whether this process of a searcher recently reported that it is draining."""
+        return self.has(searcher) and self._departures[searcher.id].searcher.draining
 
     def expire(self, now: float) -> None:
-        """Forget what is too old."""
-        for searcher_id, left in list(self._left.items()):
-            if now - left.at > _KEPT_SECONDS:
-                del self._left[searcher_id]
+        """Drop departures that are too old."""
+        for searcher_id, departure in list(self._departures.items()):
+            if now - departure.at > _KEPT_SECONDS:
+                del self._departures[searcher_id]
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/dispatches.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/dispatches.py
@@ -1,4 +1,4 @@
-"""Dispatch policies: which instance sends a group's calls to its searchers."""
+"""Dispatch policies: which instance sends the calls of a group to its searchers."""
 
 from collections.abc import Callable, Sequence
 
@@ -24,8 +24,8 @@
 def find_dispatch(name: str) -> DispatchOrder:
     """Return a registered dispatch policy.
 
-    It takes the group's key, the asking instance's id and the instances that can be reached, and
-    returns the ids of the instances to ask, best first.
+    The policy takes the key of the group, the id of the requesting instance and the reachable
+    instances, and returns the ids of the instances to ask, best first.
 
     Raises:
         BadRequest: No policy has this name.
@@ -39,15 +39,15 @@
 
 @dispatch_policy("owner")
 def owner_first(key: str, own_id: str, instances: Sequence[InstanceInfo]) -> list[str]:
-    """Ask the group's owners in order, so that one queue stands before the searchers' slots."""
+    """Ask the owners of the group in order, so that one queue controls the searchers' slots."""
     return [instance.id for instance in owner_order(key, instances)]
 
 
 @dispatch_policy("direct")
 def direct(key: str, own_id: str, instances: Sequence[InstanceInfo]) -> list[str]:
-    """Call the searchers from whichever instance was asked.
+    """Call the searchers from the instance that received the request.
 
-    The baseline of `docs/ADMISSION.md`, not for production: several instances that know nothing of
-    each other's calls share the few slots of a searcher, which then sheds.
+    This is the baseline of `docs/ADMISSION.md`, not for production: several instances use the few
+    slots of a searcher without knowing of each other's calls, and the searcher sheds load.
     """
     return [own_id]
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/evacuations.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/evacuations.py
@@ -1,13 +1,13 @@
-"""Failure domains whose searchers the operator wants to get no new calls."""
+"""Failure domains that an operator has evacuated."""
 
 from dataclasses import dataclass
 
 
 @dataclass(slots=True, frozen=True)
 class Evacuation:
-    """The operator's order to send nothing new to the searchers of a failure domain.
+    """An operator's order to send no new calls to the searchers of a failure domain.
 
-    It holds until it is removed. Calls that were sent before are not cut.
+    It applies until it is removed. Calls that were sent before are not cancelled.
 
     Attributes:
         failure_domain: The failure domain.
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/fleets.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/fleets.py
@@ -1,4 +1,4 @@
-"""Which searchers exist, and which one a call goes to."""
+"""The known searchers, and the selection of one for each call."""
 
 from collections.abc import Collection, Iterable, Mapping, Sequence
 from random import Random
@@ -9,11 +9,11 @@
 
 
 class Fleet:
-    """All searchers that may be used, by service.
+    """All known searchers, by service.
 
     Args:
         own_domain: Failure domain of this instance.
-        rng: Source for the moments at which calls to cold searchers begin.
+        rng: Random generator for the times of the first calls to cold searchers.
     """
 
     __slots__ = (
@@ -55,43 +55,43 @@
         return self._by_id.get(searcher_id)
 
     def use_limits(self, services: Mapping[str, ServiceLimits]) -> None:
-        """Take over what the searchers of each service stand while they are cold."""
+        """Apply the cold-start limits of each service."""
         self._cold_rates = {name: limits.cold_rate for name, limits in services.items()}
         in_use = services.keys() | {name for name, found in self._by_service.items() if found}
         self._cold_starts = {n: limits for n, limits in self._cold_starts.items() if n in in_use}
         for name, limits in services.items():
             self._cold_limits(name).seconds = limits.cold_seconds
-        self._set_intervals()
+        self._update_cold_intervals()
 
     def share_among(self, sharers: float) -> None:
-        """Divide the calls to cold searchers among instances.
+        """Set the number of instances that share the call rate of cold searchers.
 
         Args:
-            sharers: Instances among which they are divided, for this one's part.
+            sharers: Number by which the rate is divided to get the part of this instance.
         """
         self._sharers = sharers
-        self._set_intervals()
+        self._update_cold_intervals()
 
     def unreachable(self, replica: Replica, now: float) -> bool:
-        """Take in that no connection to a searcher could be opened.
+        """Record that no connection to a searcher could be opened.
 
         Returns:
-            Whether this is the first time since it last answered a call.
+            Whether this is the first failure since it last answered a call.
         """
         is_first = replica.block == FIRST_BLOCK
         replica.unreachable(self._rng.random(), now)
         return is_first
 
     def evacuate(self, failure_domain: str) -> list[Replica]:
-        """Send nothing new to a failure domain; return its searchers."""
+        """Stop sending calls to a failure domain; return its searchers."""
         self._evacuated.add(failure_domain)
         return self._set_evacuated(failure_domain, True)
 
     def restore(self, failure_domain: str, now: float) -> list[Replica]:
         """Use an evacuated failure domain again; return its searchers.
 
-        They have had no calls for a while, and count as cold: as much as they stood before, at
-        once and from all instances, would bring them down.
+        The searchers have had no calls for a while and are treated as cold: their previous load,
+        arriving at once from all instances, would overload them.
         """
         self._evacuated.discard(failure_domain)
         restored = self._set_evacuated(failure_domain, False)
@@ -107,10 +107,10 @@
         return found
 
     def _cold_limits(self, service: str) -> ColdStartLimits:
-        """Return what all searchers of a service share."""
+        """Return the limits object that all searchers of a service share."""
         return self._cold_starts.setdefault(service, ColdStartLimits())
 
-    def _set_intervals(self) -> None:
+    def _update_cold_intervals(self) -> None:
         for name, limits in self._cold_starts.items():
             rate = self._cold_rates.get(name, 0.0)
             limits.interval = self._sharers / rate if rate > 0 else 0.0
@@ -119,37 +119,37 @@
         """Add or update a searcher.
 
         Returns:
-            The replica that it replaces, where the old one is another process: its connections
-            and the evidence on it are worth nothing now.
+            The replica that it replaces, if that was another process, whose connections and
+            measurements no longer apply.
         """
         known = self._by_id.get(searcher.id)
         if known is not None and _same_process(known.searcher, searcher):
             known.listed(searcher, now)
-            self._note_cold(known, now)
+            self._update_cold_start(known, now)
             return None
         replaced = self.remove(searcher.id)
         replica = Replica(searcher, evidence_at=now)
         replica.listed(searcher, now)
         replica.evacuated = searcher.failure_domain in self._evacuated
         replica.cold_start = ColdStart(self._cold_limits(searcher.service))
-        self._note_cold(replica, now)
+        self._update_cold_start(replica, now)
         self._by_id[searcher.id] = replica
         self._by_service.setdefault(searcher.service, {})[searcher.id] = replica
         return replaced
 
-    def _note_cold(self, replica: Replica, now: float) -> None:
+    def _update_cold_start(self, replica: Replica, now: float) -> None:
         if replica.searcher.cold_left > 0:
             replica.turned_cold(replica.searcher.cold_left, self._rng.random(), now)
 
     def remove(self, searcher_id: str) -> Replica | None:
-        """Forget a searcher; return it where it was known."""
+        """Remove a searcher; return it if it was known."""
         replica = self._by_id.pop(searcher_id, None)
         if replica is not None:
             del self._by_service[replica.searcher.service][searcher_id]
         return replica
 
     def of(self, service: str) -> Collection[Replica]:
-        """Return the searchers of a service, leaving ones included."""
+        """Return the searchers of a service, including leaving ones."""
         return self._by_service.get(service, {}).values()
 
     def domains(self, services: Iterable[str]) -> dict[str, int]:
@@ -163,15 +163,15 @@
         return found
 
     def queue_depth(self, services: Sequence[str], max_age: float, now: float) -> float | None:
-        """Return how many calls wait for each slot of a service's searchers.
+        """Return the mean number of waiting calls per slot of the searchers.
 
         Args:
             services: The services.
-            max_age: Seconds for which a searcher's word counts.
-            now: Monotonic second.
+            max_age: Maximum age of a searcher's load report, in seconds.
+            now: Monotonic time in seconds.
 
         Returns:
-            The mean over the services; None where under half of them have said it of late.
+            The mean over the services; None if fewer than half of them have a recent report.
         """
         since = now - max_age
         depths = []
@@ -184,20 +184,20 @@
         return sum(depths) / len(depths)
 
     def wait(self, service: str, now: float) -> float:
-        """Return in how many seconds a service can get a call; infinite without a searcher."""
+        """Return the seconds until a service can get a call; infinite without a searcher."""
         waits = [r.wait(now) for r in self.of(service) if r.is_in_service]
         return min(waits, default=float("inf"))
 
     def choose(
         self, service: str, now: float, usual: float, avoid: Collection[str] = ()
     ) -> Replica | None:
-        """Return the searcher that promises the earliest answer; None where none may be used.
+        """Return the searcher with the lowest expected cost; None if none may be used.
 
         Args:
             service: The service.
-            now: Monotonic second.
-            usual: The usual time of such a call in seconds.
-            avoid: Ids of searchers that had this request already; used only where no other is.
+            now: Monotonic time in seconds.
+            usual: Usual duration of such a call in seconds.
+            avoid: Ids of searchers that already had this request; used only if there is no other.
         """
         best, best_cost = None, float("inf")
         fallback, fallback_cost = None, float("inf")
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/freshness.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/freshness.py
@@ -1,18 +1,18 @@
-"""Whether an instance can still know what is in force."""
+"""Whether the configuration of an instance can still be current."""
 
 from dataclasses import dataclass
 from enum import StrEnum
 
 ISOLATION_SECONDS = 5.0
-# Above the longest pause between two comparisons, so that a healthy instance never probes.
+# Longer than the longest pause between two comparisons, so that a healthy instance never probes.
 PROBE_SECONDS = 3.5
 
-_NOT_LOADED_RETRY = 1.0
-_ISOLATED_RETRY = 2.0
+_NOT_LOADED_RETRY_SECONDS = 1.0
+_ISOLATED_RETRY_SECONDS = 2.0
 
 
 class Refusal(StrEnum):
-    """Why new work is refused."""
+    """Reasons for refusing new work."""
 
     NOT_LOADED = "not_loaded"
     ISOLATED = "isolated"
@@ -20,11 +20,11 @@
 
 @dataclass(slots=True, frozen=True)
 class RefuseWork:
-    """New work is refused.
+    """The decision to refuse new work.
 
     Attributes:
-        reason: Why.
-        retry_after: Seconds after which another try makes sense.
+        reason: The reason.
+        retry_after: Seconds after which a retry may succeed.
     """
 
     reason: Refusal
@@ -32,18 +32,19 @@
 
 
 class Freshness:
-    """Tells for how long nobody confirmed what this instance has in force.
+    """Tracks when the configuration of this instance was last confirmed as current.
 
-    Only a round trip that this instance began counts, from the moment it was begun. A message
-    that merely arrives proves nothing: after a freeze the socket still holds what a relay sent
-    before it, and an instance that believed it would serve an old version as current.
+    Only round trips that this instance initiated count, from the time at which they began. An
+    incoming message proves nothing: after the process was frozen, the socket still holds messages
+    that a relay sent before, and an instance that trusted them would serve an old version as
+    current.
 
-    An instance that knows no peers serves on without the platform, since there is nobody whom it
-    could have lost. One that reaches some peers but not the platform serves on too: it can't tell
-    its side of a partition from an outage.
+    An instance without known peers keeps serving without the platform, because there is no peer
+    from which it could be cut off. An instance that reaches some peers but not the platform keeps
+    serving, too: it can't distinguish a partition from an outage of the platform.
 
     Args:
-        now: Monotonic seconds.
+        now: Monotonic time in seconds.
     """
 
     __slots__ = ("_confirmed_at", "_loaded")
@@ -54,25 +55,25 @@
 
     @property
     def is_loaded(self) -> bool:
-        """Whether the configuration was ever known whole."""
+        """Whether a complete configuration was ever loaded."""
         return self._loaded
 
     def loaded(self) -> None:
-        """Note that the configuration is known whole."""
+        """Record that a complete configuration is loaded."""
         self._loaded = True
 
     def confirmed(self, begun_at: float) -> None:
-        """Note that a peer or the platform answered a request begun at this moment."""
+        """Record that a peer or the platform answered a request that began at this time."""
         self._confirmed_at = max(self._confirmed_at, begun_at)
 
     def wants_probe(self, now: float) -> bool:
-        """Return whether the platform should be asked because no peer answered for a while."""
+        """Return whether to probe the platform because no peer has answered for a while."""
         return now - self._confirmed_at > PROBE_SECONDS
 
     def refusal(self, has_peers: bool, now: float) -> RefuseWork | None:
-        """Return why new work must be refused, None where it may run."""
+        """Return why new work must be refused; None if it may run."""
         if not self._loaded:
-            return RefuseWork(Refusal.NOT_LOADED, _NOT_LOADED_RETRY)
+            return RefuseWork(Refusal.NOT_LOADED, _NOT_LOADED_RETRY_SECONDS)
         if has_peers and now - self._confirmed_at > ISOLATION_SECONDS:
-            return RefuseWork(Refusal.ISOLATED, _ISOLATED_RETRY)
+            return RefuseWork(Refusal.ISOLATED, _ISOLATED_RETRY_SECONDS)
         return None
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/isolation.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/isolation.py
@@ -1,51 +1,54 @@
-"""Whether this instance is cut off from everything that it needs to serve callers."""
+"""Detects that this instance is cut off from its peers and all searchers."""
 
-# Calls to searchers without any answer for this long are no coincidence: pauses are 0.2 s at most,
-# and single searchers that hang don't silence the others.
+# Calls to searchers without any answer for this long indicate a network failure: pauses last 0.2 s
+# at most, and a single searcher that hangs doesn't keep the others from answering.
 STALLED_SECONDS = 0.6
 
 
 class Isolation:
-    """Watches for the moment at which neither a peer nor a searcher answers any more.
+    """Detects when neither peers nor searchers answer any more.
 
-    Callers may still reach an instance whose network to the rest is cut. Requests that it took
-    would hang until their deadlines, and a booking sent into the cut can't be called back; a
-    refusal at once sends its callers to the other instances.
+    Callers may still reach an instance that is cut off from the rest of the network. Requests that
+    it accepted would hang until their deadlines, and a booking sent on a broken connection can't be
+    recalled; an immediate refusal makes its callers use the other instances.
 
-    Both signs are needed. Searchers alone may all be slow; peers alone may all be gone.
+    Both conditions are required: without answers from searchers only, all of them may be slow;
+    without peers only, all of them may have ended.
     """
 
-    __slots__ = ("_called_at", "is_isolated")
+    __slots__ = ("_unanswered_since", "is_isolated")
 
     def __init__(self) -> None:
-        self._called_at: float | None = None
+        self._unanswered_since: float | None = None
         self.is_isolated = False
 
     def called(self, now: float) -> None:
-        """Note that a call goes to a searcher."""
-        if self._called_at is None:
-            self._called_at = now
+        """Record that a call is sent to a searcher."""
+        if self._unanswered_since is None:
+            self._unanswered_since = now
 
     def answered(self) -> None:
-        """Note that a searcher answered, or took a connection."""
-        self._called_at = None
+        """Record that a searcher answered or accepted a connection."""
+        self._unanswered_since = None
         self.is_isolated = False
 
     def look(self, others: int, heard: int, now: float) -> bool:
-        """Decide anew; called a few times a second.
+        """Update the state; called a few times a second.
 
         Args:
-            others: Other instances that are known.
-            heard: How many of them are heard.
-            now: Monotonic second.
+            others: Number of other known instances.
+            heard: Number of them that are heard.
+            now: Monotonic time in seconds.
 
         Returns:
-            Whether the instance became isolated with this look.
+            Whether the instance became isolated with this update.
         """
         if heard or not others:
             self.is_isolated = False
             return False
-        stalled = self._called_at is not None and now - self._called_at > STALLED_SECONDS
+        stalled = (
+            self._unanswered_since is not None and now - self._unanswered_since > STALLED_SECONDS
+        )
         became = stalled and not self.is_isolated
         self.is_isolated = self.is_isolated or stalled
         return became
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/lifetimes.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/lifetimes.py
@@ -1,21 +1,22 @@
-"""How long callers may keep the list of instances that they were told."""
+"""How long callers may cache the list of instances."""
 
 from collections.abc import Collection
 
-# Right after a change, callers ask again after this long: an instance that was just lost may be
-# back, and the next one of a series of restarts follows within a second or two.
-_SHORTEST = 1.0
+# Callers refresh the list after this time when it has just changed: an instance that was just lost
+# may be back, and in a rolling restart the next one follows within a second or two.
+_MIN_SECONDS = 1.0
 
 
 class ListLifetime:
-    """Lets callers keep a list for as long as it has held so far.
+    """Sets the cache lifetime of the list to the time for which it has not changed.
 
-    A look-up costs a caller a connect and a request, 14 ms where callers are 3 ms away, before it
-    sends the request that it is for: a quarter of a quick route's objective, once a second for
-    each caller. An instance that is lost fails each caller once at most, whatever it was told.
+    A look-up costs a caller a connect and a request before the request that needs it: 14 ms for
+    callers that are 3 ms away. With a fixed lifetime of a second, each caller would spend a quarter
+    of a fast route's latency objective on it once a second. A lost instance fails at most one
+    request of each caller, whatever the lifetime.
 
     Args:
-        longest: Most seconds that callers keep a list anyway.
+        longest: Maximum lifetime in seconds.
     """
 
     __slots__ = ("_changed_at", "_names", "longest")
@@ -26,14 +27,14 @@
         self._changed_at = float("-inf")
 
     def seconds(self, names: Collection[str], now: float) -> float:
-        """Return how many seconds a list holds that is told now.
+        """Return the lifetime of a list that is sent now, in seconds.
 
         Args:
             names: The instances that callers may use.
-            now: Monotonic second.
+            now: Monotonic time in seconds.
         """
         current = frozenset(names)
         if current != self._names:
             self._names = current
             self._changed_at = now
-        return max(_SHORTEST, min(now - self._changed_at, self.longest))
+        return max(_MIN_SECONDS, min(now - self._changed_at, self.longest))
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/logbudgets.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/logbudgets.py
@@ -1,47 +1,47 @@
-"""How many log lines of each kind may be written."""
+"""Rate limits for log lines."""
 
 from collections import Counter
 
-# Lines a second of one event, averaged, and how many may come at once. An instance serves some 30
-# requests a second on a heavy day; ten times that still costs under 2 % of a core.
+# Average lines per second of one event, and maximum burst. An instance serves some 30 requests a
+# second on a busy day; ten times as many log lines still cost less than 2 % of a core.
 LINES_PER_SECOND = 300.0
 LINES_AT_ONCE = 600.0
 
 
 class LogBudget:
-    """Lets each kind of line through up to a rate, and counts the rest.
+    """Limits the rate of log lines by event and counts the suppressed ones.
 
-    Under a flood of refusals or failures the lines would cost more than the requests; the first
-    ones of each kind tell what happens, and a count of the others how much.
+    During a flood of refusals or failures, logging would cost more than the requests. The first
+    lines of each event show what happens, and the count of the others shows how often.
 
     Args:
-        rate: Lines a second of each event.
-        burst: Lines of each event that may come at once.
+        rate: Lines per second of each event.
+        burst: Maximum number of lines of each event at once.
     """
 
-    __slots__ = ("_burst", "_left", "_rate", "_refilled", "_suppressed")
+    __slots__ = ("_burst", "_tokens", "_rate", "_refilled_at", "_suppressed")
 
     def __init__(self, rate: float = LINES_PER_SECOND, burst: float = LINES_AT_ONCE) -> None:
         self._rate = rate
         self._burst = burst
-        self._left: dict[int, float] = {}
-        self._refilled: dict[int, float] = {}
+        self._tokens: dict[int, float] = {}
+        self._refilled_at: dict[int, float] = {}
         self._suppressed: Counter[int] = Counter()
 
     def allow(self, event: int, now: float) -> bool:
-        """Return whether a line of an event may be written now; count it otherwise."""
-        passed = now - self._refilled.get(event, now)
-        left = min(self._burst, self._left.get(event, self._burst) + passed * self._rate)
-        self._refilled[event] = now
-        if left < 1.0:
-            self._left[event] = left
+        """Return whether a line of an event may be written now; count it if not."""
+        elapsed = now - self._refilled_at.get(event, now)
+        tokens = min(self._burst, self._tokens.get(event, self._burst) + elapsed * self._rate)
+        self._refilled_at[event] = now
+        if tokens < 1.0:
+            self._tokens[event] = tokens
             self._suppressed[event] += 1
             return False
-        self._left[event] = left - 1.0
+        self._tokens[event] = tokens - 1.0
         return True
 
     def take_suppressed(self) -> dict[int, int]:
-        """Return, and forget, how many lines of each event were not written."""
+        """Return and reset the number of suppressed lines by event."""
         suppressed = dict(self._suppressed)
         self._suppressed.clear()
         return suppressed
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/members.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/members.py
@@ -1,4 +1,4 @@
-"""Which instances are there: the platform's lagging list joined with own evidence."""
+"""The known instances: the platform's list, which lags, combined with direct observations."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -9,16 +9,16 @@
 
 WHOLE_LIST = -1
 
-_FIRST_PAUSE = 2.0
-_LONGEST_PAUSE = 30.0
+_INITIAL_PAUSE = 2.0
+_MAX_PAUSE = 30.0
 _UNLISTED_SECONDS = 10.0
-_KEPT_CHANGES = 256
-_KEPT_INCARNATIONS = 4
+_MAX_KEPT_CHANGES = 256
+_MAX_KEPT_INCARNATIONS = 4
 
 
 @dataclass(slots=True, frozen=True)
 class _Unlisted:
-    """An instance that the list lacks: since when, and what is known of it."""
+    """An instance that is missing in the list, and since when."""
 
     info: InstanceInfo
     since: float
@@ -26,23 +26,23 @@
 
 @dataclass(slots=True)
 class _Evidence:
-    """What this instance saw of another by itself."""
+    """Direct observations of another instance."""
 
     incarnation: str = ""
     retired: tuple[str, ...] = ()
     leaving: bool = False
     lost: bool = False
     heard_at: float = float("-inf")
-    pause: float = _FIRST_PAUSE
+    pause: float = _INITIAL_PAUSE
     unreachable_until: float = float("-inf")
     listed_leaving_as: str | None = None
 
 
 class Membership:
-    """Joins the platform's list with what links to peers show.
+    """Combines the platform's list with the state of the links to peers.
 
-    Nothing here needs two instances to agree; a wrong view costs a forward or a shed call. All
-    times are this process's own.
+    Instances need not agree on the result; a wrong view costs a forward or a shed call. All times
+    are monotonic times of this process.
 
     Args:
         own_id: Id of this instance.
@@ -52,8 +52,8 @@
         "_changes",
         "_evidence",
         "_instances",
-        "_live",
-        "_live_until",
+        "_routable",
+        "_routable_until",
         "_own_id",
         "_revision",
         "_unlisted",
@@ -65,13 +65,13 @@
         self._instances: dict[str, InstanceInfo] = {}
         self._unlisted: dict[str, _Unlisted] = {}
         self._evidence: dict[str, _Evidence] = {}
-        self._live: tuple[InstanceInfo, ...] | None = None
-        self._live_until = 0.0
-        self._changes: deque[tuple[int, frozenset[str]]] = deque(maxlen=_KEPT_CHANGES)
+        self._routable: tuple[InstanceInfo, ...] | None = None
+        self._routable_until = 0.0
+        self._changes: deque[tuple[int, frozenset[str]]] = deque(maxlen=_MAX_KEPT_CHANGES)
 
     @property
     def revision(self) -> int:
-        """Revision of the list, -1 before the first."""
+        """Revision of the list; -1 before the first one."""
         return self._revision
 
     @property
@@ -80,10 +80,10 @@
         return bool(self._unlisted) or bool(self._instances.keys() - {self._own_id})
 
     def listed(self, change: ListChange, now: float) -> bool:
-        """Take in the list or a change of it; only a higher revision applies.
+        """Apply the full list or a change of it, if its revision is higher.
 
         Returns:
-            Whether it applied; a change on another base than ours does not.
+            Whether it was applied; a change with a base other than the current revision is not.
         """
         if change.revision <= self._revision:
             return False
@@ -93,31 +93,31 @@
         after.update((instance.id, instance) for instance in change.listed)
         for instance_id in change.dropped:
             after.pop(instance_id, None)
-        self._take(after, change.revision, now)
-        self._forget(now)
-        self._live = None
+        self._replace_list(after, change.revision, now)
+        self._drop_ended(now)
+        self._routable = None
         return True
 
     def changes_since(self, revision: int) -> ListChange:
-        """Return what the holder of a revision lacks, the whole list where that is not known."""
+        """Return the changes after a revision, or the full list if they are not known."""
         known = [r for r, _ in self._changes]
         if revision == WHOLE_LIST or revision not in known:
             return ListChange(WHOLE_LIST, self._revision, tuple(self._instances.values()))
-        touched = {i for r, ids in self._changes if r > revision for i in ids}
+        changed_ids = {i for r, ids in self._changes if r > revision for i in ids}
         return ListChange(
             base=revision,
             revision=self._revision,
-            listed=tuple(self._instances[i] for i in touched if i in self._instances),
-            dropped=tuple(i for i in touched if i not in self._instances),
+            listed=tuple(self._instances[i] for i in changed_ids if i in self._instances),
+            dropped=tuple(i for i in changed_ids if i not in self._instances),
         )
 
     def greeted(self, hello: Hello, now: float, dialled: bool = False) -> None:
-        """Take in an instance's hello, which also tells where it is.
+        """Record the hello of an instance, which includes its addresses.
 
         Args:
-            hello: Who spoke.
-            now: Monotonic seconds.
-            dialled: Whether it answered at its listed address.
+            hello: The message.
+            now: Monotonic time in seconds.
+            dialled: Whether it came over a link opened to the listed address.
         """
         instance_id = hello.instance
         if instance_id not in self._instances and hello.peer_address:
@@ -130,59 +130,60 @@
     def heard(
         self, instance_id: str, incarnation: str, leaving: bool, now: float, dialled: bool = False
     ) -> None:
-        """Take in a word from the instance itself; it counts more than the list.
+        """Record a message from the instance itself, which takes precedence over the list.
 
         Args:
-            instance_id: Who spoke.
-            incarnation: Its run.
-            leaving: Whether it leaves.
-            now: Monotonic seconds.
-            dialled: Whether it answered at its listed address. Such a word is of the current run;
-                one that came in may be a late word of a run that was replaced since.
+            instance_id: The sender.
+            incarnation: Its incarnation.
+            leaving: Whether it is leaving.
+            now: Monotonic time in seconds.
+            dialled: Whether it came over a link opened to the listed address. Such a message is
+                from the current incarnation; one on an incoming link may be a late message of an
+                incarnation that has been replaced.
         """
         evidence = self._evidence.setdefault(instance_id, _Evidence())
         if incarnation != evidence.incarnation:
             if incarnation in evidence.retired and not dialled:
                 return
             if evidence.incarnation:
-                kept = (evidence.incarnation, *evidence.retired)[:_KEPT_INCARNATIONS]
+                kept = (evidence.incarnation, *evidence.retired)[:_MAX_KEPT_INCARNATIONS]
                 evidence.retired = tuple(i for i in kept if i != incarnation)
             evidence.incarnation = incarnation
         evidence.leaving = leaving
-        self._live = None
+        self._routable = None
         self.answered(instance_id, now)
 
     def answered(self, instance_id: str, now: float) -> None:
-        """Note that an instance replied to a request of ours."""
+        """Record that an instance replied to a request of this one."""
         evidence = self._evidence.setdefault(instance_id, _Evidence())
         if evidence.lost or instance_id in self._unlisted:
-            self._live = None
+            self._routable = None
         evidence.heard_at = now
         evidence.lost = False
         evidence.unreachable_until = float("-inf")
-        evidence.pause = _FIRST_PAUSE
+        evidence.pause = _INITIAL_PAUSE
 
     def asked(self, instance_id: str, now: float) -> None:
-        """Note that an instance sent us a request: it runs, but may not be reachable from here."""
+        """Record a request from an instance: it runs, but may be unreachable from here."""
         self._evidence.setdefault(instance_id, _Evidence()).heard_at = now
         if instance_id in self._unlisted:
-            self._live = None
+            self._routable = None
 
     def unreachable(self, instance_id: str, now: float) -> None:
-        """Note that a link to the instance failed; each failure in a row doubles the pause."""
+        """Record that a link to an instance failed; each failure in a row doubles the pause."""
         evidence = self._evidence.setdefault(instance_id, _Evidence())
         evidence.unreachable_until = now + evidence.pause
-        evidence.pause = min(evidence.pause * 2, _LONGEST_PAUSE)
+        evidence.pause = min(evidence.pause * 2, _MAX_PAUSE)
         evidence.lost = True
-        self._live = None
+        self._routable = None
 
     def incarnation(self, instance_id: str) -> str:
-        """Return the run that an instance last named, empty where not known."""
+        """Return the last incarnation that an instance reported; empty if unknown."""
         evidence = self._evidence.get(instance_id)
         return evidence.incarnation if evidence and not evidence.lost else ""
 
     def get(self, instance_id: str) -> InstanceInfo | None:
-        """Return an instance as listed, or as it named itself where the list lacks it."""
+        """Return an instance as listed, or as it described itself if it is not listed."""
         unlisted = self._unlisted.get(instance_id)
         return self._instances.get(instance_id) or (unlisted.info if unlisted else None)
 
@@ -196,37 +197,37 @@
         return "live"
 
     def everyone(self, now: float) -> tuple[InstanceInfo, ...]:
-        """Return all instances that are listed, or heard of though the list lacks them."""
-        speaking = [u.info for u in self._unlisted.values() if self._is_speaking(u, now)]
-        return (*self._instances.values(), *speaking)
+        """Return all listed instances, and unlisted ones that were heard from recently."""
+        recently_heard = [u.info for u in self._unlisted.values() if self._is_heard(u, now)]
+        return (*self._instances.values(), *recently_heard)
 
     def peers(self, now: float) -> tuple[InstanceInfo, ...]:
-        """Return everyone but this instance."""
+        """Return all instances except this one."""
         return tuple(i for i in self.everyone(now) if i.id != self._own_id)
 
     def routable(self, now: float) -> tuple[InstanceInfo, ...]:
-        """Return the instances that callers may be sent to.
+        """Return the instances to which callers may be directed.
 
-        The same tuple comes back until something changes, since every request asks for it.
+        The result is cached until something changes, because every request needs it.
         """
-        if self._live is None or now >= self._live_until:
-            self._live = tuple(i for i in self.everyone(now) if self.state(i.id, now) == "live")
-            self._live_until = self._next_change(now)
-        return self._live
+        if self._routable is None or now >= self._routable_until:
+            self._routable = tuple(i for i in self.everyone(now) if self.state(i.id, now) == "live")
+            self._routable_until = self._next_timeout(now)
+        return self._routable
 
-    def _next_change(self, now: float) -> float:
-        """Return when the mere passage of time changes who is live."""
+    def _next_timeout(self, now: float) -> float:
+        """Return the next time at which a timeout changes the set of live instances."""
         ends = [e.unreachable_until for e in self._evidence.values()]
         ends += [self._evidence[i].heard_at + _UNLISTED_SECONDS for i in self._unlisted]
         return min((end for end in ends if end > now), default=float("inf"))
 
-    def _is_speaking(self, unlisted: _Unlisted, now: float) -> bool:
-        """Return whether an instance spoke after the list dropped it, and not long ago."""
+    def _is_heard(self, unlisted: _Unlisted, now: float) -> bool:
+        """Return whether an instance was heard from recently, and after the list dropped it."""
         heard_at = self._evidence[unlisted.info.id].heard_at
         return heard_at > unlisted.since and now - heard_at < _UNLISTED_SECONDS
 
-    def _forget(self, now: float) -> None:
-        """Drop what is known of ended instances; thousands end on a day, each under a new id."""
+    def _drop_ended(self, now: float) -> None:
+        """Drop the state of ended instances; thousands end in a day, each with its own id."""
         for instance_id, unlisted in tuple(self._unlisted.items()):
             quiet_since = max(self._evidence[instance_id].heard_at, unlisted.since)
             if now - quiet_since > _UNLISTED_SECONDS:
@@ -234,20 +235,20 @@
         for instance_id in self._evidence.keys() - self._instances.keys() - self._unlisted.keys():
             del self._evidence[instance_id]
 
-    def _take(self, after: dict[str, InstanceInfo], revision: int, now: float) -> None:
+    def _replace_list(self, after: dict[str, InstanceInfo], revision: int, now: float) -> None:
         before = self._instances
-        touched = {i for i in before.keys() | after.keys() if before.get(i) != after.get(i)}
-        for instance_id in touched:
+        changed_ids = {i for i in before.keys() | after.keys() if before.get(i) != after.get(i)}
+        for instance_id in changed_ids:
             self._note_change(before.get(instance_id), after.get(instance_id), now)
         self._instances = after
         self._revision = revision
-        self._changes.append((revision, frozenset(touched)))
+        self._changes.append((revision, frozenset(changed_ids)))
 
     def _note_change(self, old: InstanceInfo | None, new: InstanceInfo | None, now: float) -> None:
-        """Keep what was heard of an instance that the list drops.
+        """Update the state of an instance whose list entry was added, changed or removed.
 
-        The list may drop an instance wrongly. While it still speaks to us, it stays in use;
-        one that really ended falls silent and is left out by `everyone`.
+        The list may drop an instance by mistake. It stays in use while messages from it arrive; one
+        that has really ended sends none and is left out by `everyone`.
         """
         if new is not None:
             self._unlisted.pop(new.id, None)
@@ -257,9 +258,9 @@
             self._unlisted[old.id] = _Unlisted(old, now)
 
     def _is_listed_leaving(self, instance_id: str, evidence: _Evidence) -> bool:
-        """Return whether the list says that the current run leaves.
+        """Return whether the list shows the current incarnation as leaving.
 
-        The list lags, so it may still speak of a run that was replaced under the same id.
+        The list lags, so it may still show an incarnation that was replaced under the same id.
         """
         listed = self._instances.get(instance_id)
         if listed is None or listed.state != "leaving":
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/owners.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/owners.py
@@ -1,4 +1,4 @@
-"""Which instances own a group: rendezvous hashing, spread over failure domains."""
+"""Selects the owners of a group by rendezvous hashing, spread over failure domains."""
 
 from collections.abc import Iterable
 from hashlib import blake2b
@@ -12,8 +12,9 @@
     """Order instances by rendezvous weight for a key.
 
     The best instance of each failure domain comes first, then the second of each, and so on, so
-    that the loss of one domain leaves the next owner reachable. Instances that see different lists
-    may disagree; an owner is a routing hint and never a right, so that costs shed calls only.
+    that the next owner stays reachable when one domain is lost. Instances with different lists may
+    disagree; ownership is only a routing hint and not an exclusive right, so disagreement costs
+    nothing but shed calls.
 
     Args:
         key: Name of the group.
@@ -23,27 +24,28 @@
         The instances, best first.
     """
     ranked = sorted(instances, key=lambda instance: _weight(key, instance.id), reverse=True)
-    rounds: dict[str, int] = {}
+    domain_counts: dict[str, int] = {}
     placed: list[tuple[int, int, InstanceInfo]] = []
     for rank, instance in enumerate(ranked):
-        turn = rounds.get(instance.failure_domain, 0)
-        rounds[instance.failure_domain] = turn + 1
-        placed.append((turn, rank, instance))
+        position = domain_counts.get(instance.failure_domain, 0)
+        domain_counts[instance.failure_domain] = position + 1
+        placed.append((position, rank, instance))
     placed.sort(key=lambda item: item[:2])
     return [instance for _, _, instance in placed]
 
 
 def spread_over_owners(order: list[str], owners: int, own_id: str) -> list[str]:
-    """Put the active owner that an asking instance uses first.
+    """Move the active owner that the requesting instance uses to the front.
 
-    The first `owners` of the order are active, each with its share of every searcher's slots. An
-    instance that is one of them uses itself; the others are spread over them by their ids, so that
-    each share gets its part of the load. Instances further down are fallbacks.
+    The first `owners` instances of the order are active, each with a share of every searcher's
+    slots. An active owner uses itself; the other instances are distributed over the active owners
+    by their ids, so that each share gets its part of the load. The remaining instances are
+    fallbacks.
 
     Args:
         order: Ids of the instances, best first.
         owners: Number of active owners.
-        own_id: The asking instance.
+        own_id: Id of the requesting instance.
     """
     active, fallbacks = order[:owners], order[owners:]
     if own_id in active:
@@ -55,10 +57,10 @@
 
 
 class SilentOwners:
-    """Owners that let a request wait while another answered it; they are asked last for a while.
+    """Owners that recently did not answer a request that another one answered; they come last.
 
-    Without it, each request to a frozen owner would lose its patience anew until the link to it is
-    given up, which takes seconds.
+    Without this, each request to a frozen owner would wait for its hedge delay until the link to
+    the owner is closed, which takes seconds.
     """
 
     __slots__ = ("_until",)
@@ -67,22 +69,22 @@
         self._until: dict[str, float] = {}
 
     def was_silent(self, owner: str, now: float) -> None:
-        """Note that an owner gave no answer while another did."""
+        """Record that an owner gave no answer while another did."""
         self._until[owner] = now + _SILENT_SECONDS
 
     def answered(self, owner: str) -> None:
-        """Note that an owner answered."""
+        """Record that an owner answered."""
         self._until.pop(owner, None)
 
     def last(self, order: list[str], now: float) -> list[str]:
-        """Return the order with the silent ones moved to its end."""
+        """Return the order with the silent owners moved to its end."""
         silent = {owner for owner, until in self._until.items() if now < until}
-        talking = [owner for owner in order if owner not in silent]
-        return [*talking, *(owner for owner in order if owner in silent)]
+        responsive = [owner for owner in order if owner not in silent]
+        return [*responsive, *(owner for owner in order if owner in silent)]
 
 
 def group_key(service: str, group: int) -> str:
-    """Return the key that a group's owners are chosen by."""
+    """Return the key by which the owners of a group are chosen."""
     return f"{service}/{group}"
 
 
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/pins.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/pins.py
@@ -1,4 +1,4 @@
-"""Which snapshot a search gets, and how long choosing one may take."""
+"""Chooses the snapshot of a search, and limits the time that this takes."""
 
 from collections.abc import Callable
 from enum import Enum
@@ -8,19 +8,19 @@
 from limpethollow_policy.process.replicas import ReplicaSet
 from limpethollow_policy.request.gathers import Gather, Snapshot
 
-_PATIENCE_SHARE = 0.25
-_FIRST_ASK_PAUSE = 0.005
-_LONGEST_ASK_PAUSE = 0.16
+_MAX_WAIT_SHARE = 0.25
+_INITIAL_ASK_PAUSE = 0.005
+_MAX_ASK_PAUSE = 0.16
 
 AskInventory = Callable[[SearcherState, float], None]
 
 
 class Pin(Enum):
-    """What became of the choice.
+    """Result of an attempt to choose a snapshot.
 
     Attributes:
         DONE: The search has its snapshot.
-        WAITING: A better choice may come soon.
+        WAITING: A better snapshot may become available soon.
         IMPOSSIBLE: No allowed snapshot can be served before the deadline.
     """
 
@@ -30,7 +30,7 @@
 
 
 class Pinner:
-    """Pins searches to snapshots by what the searchers last said of their versions.
+    """Pins searches to snapshots by the versions that the searchers last reported.
 
     Args:
         replicas: The group's searchers.
@@ -46,46 +46,50 @@
         self._ask_inventory = ask_inventory
 
     def pin(self, gather: Gather, now: float) -> Pin:
-        """Choose a search's snapshot if that can be done now.
+        """Choose the snapshot of a search if possible.
 
-        Searchers that gave no word for long are asked each time, even where the others can serve
-        all: a new or returning replica would otherwise get no call while there is steady traffic.
+        Searchers without a recent report are always asked, even if the others can serve all shards:
+        a new or returning replica would otherwise get no calls during steady traffic.
         """
         search = gather.search
         asking = self._ask_stale(gather, now)
         servable = self._replicas.servable(search.shards, search.min_version, now)
         if search.pinned is not None:
-            return self._pin_given(gather, search.pinned, asking, now)
+            return self._pin_requested(gather, search.pinned, asking, now)
         if servable:
             return self._choose(gather, servable[0])
-        return self._pin_with_less(gather, asking, now)
+        return self._pin_partial(gather, asking, now)
 
-    def pin_by(self, gather: Gather) -> float:
-        """Return the second after which a snapshot that covers less is good enough."""
-        patience = (gather.answer_at - gather.arrived) * _PATIENCE_SHARE
-        return gather.arrived + patience
+    def pin_deadline(self, gather: Gather) -> float:
+        """Return the time after which a snapshot with less coverage is accepted."""
+        max_wait = (gather.answer_at - gather.arrived) * _MAX_WAIT_SHARE
+        return gather.arrived + max_wait
 
     def wake_times(self, gather: Gather) -> list[float]:
-        """Return the seconds at which a waiting search must be looked at again."""
-        times = [self.pin_by(gather)]
+        """Return the times at which a waiting search must be checked again."""
+        times = [self.pin_deadline(gather)]
         if gather.ask_pause:
             times.append(gather.ask_again_at)
         return times
 
-    def _pin_given(self, gather: Gather, version: int, asking: bool, now: float) -> Pin:
-        """Pin what the coordinator chose, once the searchers' versions are known here."""
-        if asking and now < self.pin_by(gather) and not self._is_servable(gather, version, now):
+    def _pin_requested(self, gather: Gather, version: int, asking: bool, now: float) -> Pin:
+        """Pin the coordinator's version once the searchers' versions are known here."""
+        if (
+            asking
+            and now < self.pin_deadline(gather)
+            and not self._is_servable(gather, version, now)
+        ):
             return Pin.WAITING
         return self._choose(gather, version)
 
     def _is_servable(self, gather: Gather, version: int, now: float) -> bool:
         return version in self._replicas.servable(gather.search.shards, 0, now)
 
-    def _pin_with_less(self, gather: Gather, asking: bool, now: float) -> Pin:
-        """Pin a snapshot that not every shard can serve, once waiting can't give a better one."""
+    def _pin_partial(self, gather: Gather, asking: bool, now: float) -> Pin:
+        """Pin a snapshot that some shards can't serve, once waiting can't improve it."""
         search = gather.search
         best = self._replicas.best_version(search.shards, search.min_version, now)
-        if now < self.pin_by(gather):
+        if now < self.pin_deadline(gather):
             if asking:
                 return Pin.WAITING
             if self._may_improve(gather, best, now):
@@ -96,10 +100,10 @@
         if asking:
             return Pin.WAITING
         if search.min_version and self._usable_holders(gather, now):
-            # The version was promised by a booking's reply, so it will come: keep asking.
+            # A booking's reply announced this version, so it will become available: keep asking.
             self._ask_again(gather, now)
             return Pin.WAITING
-        if self._comes_back(gather, gather.search.deadline, now):
+        if self._returns_before(gather, gather.search.deadline, now):
             return Pin.WAITING
         return Pin.IMPOSSIBLE
 
@@ -109,7 +113,7 @@
         return Pin.DONE
 
     def _ask_stale(self, gather: Gather, now: float) -> bool:
-        """Ask holders with stale lists for their versions; true while an answer is awaited."""
+        """Ask holders with stale version lists; return whether an answer is pending."""
         shards = gather.search.shards
         for searcher in self._replicas.stale(shards, now):
             self._ask(searcher, now)
@@ -117,14 +121,14 @@
         return any(self._calls.asks_inventory_of(searcher) for searcher in holders)
 
     def _ask_again(self, gather: Gather, now: float) -> None:
-        """Ask for versions although they are known, with a pause that doubles.
+        """Ask for versions again although they are known, with a pause that doubles.
 
-        Other searches go on pinning by what is known, so a search that waits for a version that is
-        not there yet does not hold them up.
+        Other searches are still pinned by the known versions, so a search that waits for a version
+        that is not yet available does not delay them.
         """
         if now < gather.ask_again_at:
             return
-        gather.ask_pause = min(max(gather.ask_pause * 2, _FIRST_ASK_PAUSE), _LONGEST_ASK_PAUSE)
+        gather.ask_pause = min(max(gather.ask_pause * 2, _INITIAL_ASK_PAUSE), _MAX_ASK_PAUSE)
         gather.ask_again_at = now + gather.ask_pause
         for searcher in self._usable_holders(gather, now):
             self._ask(searcher, now)
@@ -134,8 +138,8 @@
             self._ask_inventory(searcher, now)
 
     def _may_improve(self, gather: Gather, best: int | None, now: float) -> bool:
-        """Return whether some shard lacks the best version, but may get it while we wait."""
-        if self._comes_back(gather, self.pin_by(gather), now):
+        """Return whether a shard lacks the best version but may get it while the search waits."""
+        if self._returns_before(gather, self.pin_deadline(gather), now):
             return True
         snapshot = Snapshot(self._replicas.epoch, best or 0)
         return any(
@@ -144,7 +148,7 @@
             for shard in gather.search.shards
         )
 
-    def _comes_back(self, gather: Gather, horizon: float, now: float) -> bool:
+    def _returns_before(self, gather: Gather, horizon: float, now: float) -> bool:
         times = [self._replicas.comes_back(shard, now) for shard in gather.search.shards]
         return any(when is not None and when < horizon for when in times)
 
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/placements.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/placements.py
@@ -1,31 +1,31 @@
-"""Which instances callers are told to connect to."""
+"""Selects the instances that callers connect to."""
 
 from collections.abc import Collection, Iterable, Mapping
 from dataclasses import dataclass, replace
 
-# Callers are not told of more instances than this.
+# Maximum number of instances that are listed to a caller.
 MOST_ENTRIES = 64
-# Of many instances the strongest take the callers, this many at least. Each of 65 would get one
-# search in 2.5 s, too few to learn which searchers are slow, and under one of the 54 connections
-# that a searcher takes.
-_LEAST_LEADING = 16
+# If there are many instances, only the strongest serve callers, but at least this many. With 65,
+# each would get one search in 2.5 s, too few to learn which searchers are slow, and less than one
+# of the 54 connections that a searcher accepts.
+_MIN_LEADING = 16
 _LEADING_SHARE = 0.25
-# An instance with less than this share of the strongest one's strength is named to callers, and
-# asked to work for others, only where no stronger one is left.
-_LEAST_STRENGTH = 0.4
+# An instance with less than this share of the strongest one's strength is listed to callers, and
+# asked to work for other instances, only if no stronger one is left.
+_MIN_STRENGTH_SHARE = 0.4
 
 
 @dataclass(slots=True, frozen=True)
 class Instance:
-    """An instance as the others know it.
+    """An instance as known to the others.
 
     Attributes:
-        name: Its name, kept across restarts.
-        address: Where callers connect.
-        peer_address: Where other instances connect.
-        failure_domain: Where it runs.
-        strength: Processor that it may use, in cores; less where its network is the narrower.
-        incarnation: Start of its process; another value means that it has started anew.
+        name: Its name, which stays the same across restarts.
+        address: Address for callers.
+        peer_address: Address for other instances.
+        failure_domain: The failure domain in which it runs.
+        strength: Processor cores that it may use; less if its network is the bottleneck.
+        incarnation: Start of its process; a different value means that it has restarted.
     """
 
     name: str
@@ -36,7 +36,7 @@
     incarnation: int = 0
 
     def is_same_place(self, other: "Instance") -> bool:
-        """Return whether another start is of this instance, at the same addresses and strength."""
+        """Return whether the other differs from this one in its incarnation at most."""
         return replace(other, incarnation=self.incarnation) == self
 
 
@@ -46,17 +46,18 @@
     searchers: Mapping[str, int],
     usual: Collection[Instance] = (),
 ) -> list[Instance]:
-    """Return the instances that a caller shall use.
+    """Return the instances that a caller should use.
 
-    Instances in failure domains that hold searchers come first: their calls stay inside the failure
-    domain. A caller's own failure domain matters less, since callers are as far from all of them.
+    Instances in failure domains with searchers are preferred, because their calls stay inside the
+    failure domain. The caller's own failure domain matters less, because callers are equally far
+    from all of them.
 
     Args:
         live: Instances that are ready and not leaving.
         caller_domain: The caller's failure domain.
-        searchers: Usable searchers by failure domain.
-        usual: All instances that are expected; where under half of those that would be chosen
-            are live, the choice widens to the other failure domains.
+        searchers: Number of usable searchers by failure domain.
+        usual: All expected instances; if fewer than half of those that would be chosen are live,
+            instances in the other failure domains are included.
     """
     strong = strong_among(live)
     near = [instance for instance in strong if searchers.get(instance.failure_domain)]
@@ -67,27 +68,27 @@
 
 
 def leading_among(instances: Collection[Instance]) -> list[Instance]:
-    """Return the instances that take callers and make calls for others.
+    """Return the instances that serve callers and make calls for other instances.
 
-    Where there are many, these are the strongest of each failure domain, as many in each.
+    If there are many, these are the strongest of each failure domain, equally many in each.
     """
     strong = strong_among(instances)
-    if len(strong) <= _LEAST_LEADING:
+    if len(strong) <= _MIN_LEADING:
         return strong
     domains = by_domain(sorted(strong, key=lambda i: (-i.strength, i.name)))
-    wanted = max(_LEAST_LEADING, int(_LEADING_SHARE * len(strong)))
+    wanted = max(_MIN_LEADING, int(_LEADING_SHARE * len(strong)))
     each = -(-wanted // len(domains))
     return [instance for members in domains.values() for instance in members[:each]]
 
 
 def strong_among(instances: Collection[Instance]) -> list[Instance]:
-    """Return the instances that can take their part of the common work."""
+    """Return the instances that are strong enough for a share of the common work."""
     strongest = max((instance.strength for instance in instances), default=0.0)
-    return [i for i in instances if i.strength >= _LEAST_STRENGTH * strongest]
+    return [i for i in instances if i.strength >= _MIN_STRENGTH_SHARE * strongest]
 
 
 def by_domain(instances: Iterable[Instance]) -> dict[str, list[Instance]]:
-    """Return instances by failure domain, in the order given."""
+    """Group instances by failure domain, in the given order."""
     found: dict[str, list[Instance]] = {}
     for instance in instances:
         found.setdefault(instance.failure_domain, []).append(instance)
