--- a/packages/limpethollow-policy/src/limpethollow_policy/process/__init__.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions that live as long as the process."""
+"""Decision logic whose state lives as long as the process."""
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/relays.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/relays.py
@@ -1,4 +1,4 @@
-"""Who holds the platform's watch, who feeds whom, and with whom an instance compares."""
+"""Decides which instances watch the platform and which peers an instance gossips with."""
 
 from collections.abc import Iterable
 from random import Random
@@ -11,16 +11,17 @@
 RELAY_SILENCE_SECONDS = 2.0
 LOAD_FROM_PEERS_SECONDS = 1.0
 
-_GOSSIP_SECONDS = 2.0
-_SHORTEST, _LONGEST = 0.5, 1.5
-_HURRIED_GOSSIP_SECONDS = 0.2
+_GOSSIP_INTERVAL_SECONDS = 2.0
+_MIN_JITTER_FACTOR, _MAX_JITTER_FACTOR = 0.5, 1.5
+_FAST_GOSSIP_INTERVAL_SECONDS = 0.2
 
 
 def relays_of(failure_domain: str, instances: Iterable[InstanceInfo]) -> tuple[str, ...]:
-    """Return the ids of a failure domain's relays, best first.
+    """Return the ids of a failure domain's relays in order of preference.
 
-    Every instance works this out from its own view. Two that disagree have one relay too many
-    or hear one too few, which costs a watch and never an answer; so no lease guards the role.
+    Every instance computes this from its own view. Instances that disagree have one relay too
+    many or listen to one too few, which costs a watch but never an answer, so the role needs no
+    lease.
     """
     inside = [instance for instance in instances if instance.failure_domain == failure_domain]
     ordered = owner_order(f"relay/{failure_domain}", inside)
@@ -28,87 +29,89 @@
 
 
 class WatchDuty:
-    """Decides whether this instance holds the platform's watch itself.
+    """Decides whether this instance watches the platform itself.
 
-    Relays do. Others do while no relay is heard: a relay that died, froze or was cut off shows
-    only by its silence. The jitter keeps all members of a failure domain that lost their relays
-    from calling the platform in the same moment.
+    Relays do. Other instances do while they receive nothing from a relay, because a relay that
+    crashed, froze or was partitioned can only be detected by its silence. The jitter keeps the
+    members of a failure domain that lost their relays from calling the platform all at once.
 
     Args:
         own_id: Id of this instance.
-        failure_domain: Where it runs.
-        now: Monotonic seconds.
+        failure_domain: Failure domain of this instance.
+        now: Current monotonic time in seconds.
         rng: Source for jitter.
     """
 
-    __slots__ = ("_domain", "_heard_at", "_jitter", "_own_id", "_rng", "_started_at")
+    __slots__ = ("_domain", "_last_relay_message_at", "_jitter", "_own_id", "_rng", "_started_at")
 
     def __init__(self, own_id: str, failure_domain: str, now: float, rng: Random) -> None:
         self._own_id = own_id
         self._domain = failure_domain
         self._rng = rng
         self._started_at = now
-        self._heard_at: float | None = None
+        self._last_relay_message_at: float | None = None
         self._jitter = 0.0
 
     def relay_heard(self, now: float) -> None:
-        """Note that a relay of the own failure domain spoke."""
-        self._heard_at = now
+        """Record a message from a relay of the own failure domain."""
+        self._last_relay_message_at = now
         self._jitter = self._rng.random() * RELAY_SILENCE_SECONDS
 
     def is_relay(self, live: Iterable[InstanceInfo]) -> bool:
-        """Return whether this instance is a relay in its own view."""
+        """Return whether this instance is a relay according to its own view."""
         return self._own_id in relays_of(self._domain, live)
 
     def should_watch(self, live: Iterable[InstanceInfo], now: float) -> bool:
-        """Return whether this instance reads the platform itself."""
-        if self._heard_at is None or self.is_relay(live):
+        """Return whether this instance should watch the platform itself."""
+        if self._last_relay_message_at is None or self.is_relay(live):
             return True
-        return now - self._heard_at > RELAY_SILENCE_SECONDS + self._jitter
+        return now - self._last_relay_message_at > RELAY_SILENCE_SECONDS + self._jitter
 
     def should_load(self, has_peers: bool, now: float) -> bool:
-        """Return whether a fresh instance reads everything from the platform.
+        """Return whether a newly started instance loads everything from the platform.
 
-        Peers come first: after a restart of many instances the platform would otherwise send
-        the whole configuration once to each.
+        Peers are tried first: after a restart of many instances, the platform would otherwise
+        send the whole configuration to each of them.
         """
         return not has_peers or now - self._started_at > LOAD_FROM_PEERS_SECONDS
 
 
 class GossipChoice:
-    """Chooses with whom to compare, and when.
+    """Chooses the peers to gossip with, and when.
 
-    Partners come from a small set that changes with the list only, so that an instance keeps a
-    few links open and not one to everybody. The set is spread over failure domains; such a graph
-    of random links holds together when many instances are lost.
+    Partners come from a small set that changes only with the membership list, so an instance
+    keeps a few connections open instead of one to every peer. The set is spread over failure
+    domains; such a random graph stays connected when many instances are lost.
 
     Args:
         own_id: Id of this instance.
-        rng: Source for jitter and choice.
+        rng: Source of randomness for jitter and for choosing a partner.
     """
 
-    __slots__ = ("_chosen_from", "_own_id", "_partners", "_rng")
+    __slots__ = ("_last_reachable", "_own_id", "_partners", "_rng")
 
     def __init__(self, own_id: str, rng: Random) -> None:
         self._own_id = own_id
         self._rng = rng
-        self._chosen_from: tuple[InstanceInfo, ...] = ()
+        self._last_reachable: tuple[InstanceInfo, ...] = ()
         self._partners: list[InstanceInfo] = []
 
     def partner(self, reachable: tuple[InstanceInfo, ...]) -> str | None:
-        """Return the id of a peer, None where there is none."""
-        if reachable is not self._chosen_from:
+        """Return the id of the peer to compare with, or None if there is none."""
+        if reachable is not self._last_reachable:
             peers = [instance for instance in reachable if instance.id != self._own_id]
             ordered = owner_order(f"gossip/{self._own_id}", peers)
             self._partners = ordered[:GOSSIP_PARTNERS]
-            self._chosen_from = reachable
+            self._last_reachable = reachable
         return self._rng.choice(self._partners).id if self._partners else None
 
     def pause(self, hurried: bool) -> float:
         """Return the seconds until the next comparison.
 
         Args:
-            hurried: Whether the instance does not know what is in force.
+            hurried: Whether the instance does not know the configuration in force yet.
         """
-        mean = _HURRIED_GOSSIP_SECONDS if hurried else _GOSSIP_SECONDS
-        return mean * (_SHORTEST + (_LONGEST - _SHORTEST) * self._rng.random())
+        mean = _FAST_GOSSIP_INTERVAL_SECONDS if hurried else _GOSSIP_INTERVAL_SECONDS
+        return mean * (
+            _MIN_JITTER_FACTOR + (_MAX_JITTER_FACTOR - _MIN_JITTER_FACTOR) * self._rng.random()
+        )
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/removals.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/removals.py
@@ -1,47 +1,48 @@
-"""How long something without an entry in the platform's store is still used."""
+"""Delays the removal of objects whose entry in the platform's store is gone."""
 
 from collections.abc import Callable
 
-# Whoever wrote an entry that the store lost with its return writes it again within two seconds.
+# When the store comes back from an older copy, the writers of the entries that it lost write them
+# again within two seconds.
 RETURN_SECONDS = 3.0
 
 
 class RemovalDelay:
-    """Delays the removal of what has no entry any more.
+    """Delays the removal of objects that no longer have an entry.
 
-    While the store is away, the entries of living searchers may lapse, all at the same moment. They
-    are back with the next heartbeats, within about two seconds of the store's return. An instance
-    that believed the empty list at once would refuse everything for that time.
+    While the store is unavailable, the entries of live searchers may all expire at the same moment.
+    They are written again with the next heartbeats, within about two seconds of the store's return.
+    An instance that acted on the empty list at once would refuse all requests until then.
 
     Args:
-        seconds: Length of the delay. For searchers it must be shorter than the time within which a
-            leaving one must get no more requests, since it may lose its entry in the same way.
+        seconds: Length of the delay. For searchers it must be shorter than the time within which
+            requests to a leaving searcher must stop, since its entry may disappear the same way.
     """
 
-    __slots__ = ("_due", "seconds")
+    __slots__ = ("_due_at", "seconds")
 
     def __init__(self, seconds: float) -> None:
         self.seconds = seconds
-        self._due: dict[str, float] = {}
+        self._due_at: dict[str, float] = {}
 
     def add(self, name: str, now: float) -> None:
-        """Note that an entry is gone; one that was gone already keeps its time."""
-        self._due.setdefault(name, now + self.seconds)
+        """Schedule the removal of a name, unless it is already scheduled."""
+        self._due_at.setdefault(name, now + self.seconds)
 
     def cancel(self, name: str) -> None:
-        """Note that an entry is there."""
-        self._due.pop(name, None)
+        """Cancel the scheduled removal of a name whose entry exists."""
+        self._due_at.pop(name, None)
 
     def due(self, now: float) -> list[str]:
-        """Return, and forget, the names whose time is over."""
-        over = [name for name, at in self._due.items() if at <= now]
-        for name in over:
-            del self._due[name]
-        return over
+        """Return the names whose delay has expired and stop tracking them."""
+        expired = [name for name, at in self._due_at.items() if at <= now]
+        for name in expired:
+            del self._due_at[name]
+        return expired
 
 
 class LossDelay:
-    """Removes objects that went; those that the store's older copy lacks, only after a while.
+    """Removes deleted objects at once, and objects that the store may have lost after a delay.
 
     Args:
         remove: Called with the name of each object to remove.
@@ -54,16 +55,17 @@
         self._delay = RemovalDelay(RETURN_SECONDS)
 
     def came(self, name: str) -> None:
-        """Note that an object is there."""
+        """Record that an object exists."""
         self._delay.cancel(name)
 
     def went(self, name: str, now: float, *, lost: bool) -> None:
-        """Take in that an object is not there any more.
+        """Process the disappearance of an object.
 
         Args:
-            name: Its name.
-            now: Monotonic second.
-            lost: Whether the store's older copy lacks it, so that it may be written again.
+            name: Name of the object.
+            now: Current monotonic time in seconds.
+            lost: Whether the object is missing from an older copy that the store came back from,
+                so that it may be written again.
         """
         if lost:
             self._delay.add(name, now)
@@ -71,6 +73,6 @@
             self._remove(name)
 
     def tick(self, now: float) -> None:
-        """Remove what was not written again."""
+        """Remove the objects that were not written again within the delay."""
         for name in self._delay.due(now):
             self._remove(name)
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/replicas.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/replicas.py
@@ -1,4 +1,4 @@
-"""The searchers of one group: who may serve what, and who should."""
+"""The searchers of one group, and the choice of the ones that get its calls."""
 
 from collections.abc import Hashable, Iterator
 from collections.abc import Set as AbstractSet
@@ -21,25 +21,25 @@
 
 @dataclass(slots=True, frozen=True)
 class Choice:
-    """A searcher chosen for some shards."""
+    """A searcher and the shards that it was chosen for."""
 
     searcher: SearcherState
     shards: frozenset[int]
 
 
 class ReplicaSet:
-    """All searchers of a group with the evidence on each.
+    """All searchers of a group with their observed state.
 
     Args:
         spec: The service.
         group: The group.
-        rng: Source for jitter and for the choice among equals.
+        rng: Source of randomness for jitter and tie-breaking.
     """
 
     __slots__ = (
-        "_held",
+        "_configured_shards",
         "_holders",
-        "_known",
+        "_servable_cache",
         "_max_age",
         "_removed",
         "_rng",
@@ -66,11 +66,11 @@
         return self._searchers[searcher_id]
 
     def reconfigure(self, spec: ServiceSpec, group: Group) -> None:
-        """Take in a new configuration.
+        """Apply a new configuration.
 
-        A searcher that stays keeps its evidence and its open calls, so that its slots are not used
-        twice over. One that was removed with calls open is remembered until they end, in case that
-        the next configuration names it again.
+        A searcher that remains keeps its observed state and its open calls, so that its slots are
+        not used twice. A searcher that was removed while it had open calls is remembered until
+        they end, in case the next configuration lists it again.
         """
         known = [*self._searchers.values(), *self._removed]
         self.epoch = spec.epoch
@@ -93,69 +93,74 @@
         self._holders = {
             shard: [s for s in self if shard in s.spec.shards] for shard in group.shards
         }
-        self._held = {s.id: frozenset(s.shards) for s in group.searchers}
-        self._known = ((), {})
+        self._configured_shards = {s.id: frozenset(s.shards) for s in group.searchers}
+        self._servable_cache = ((), {})
 
     def holders(self, shard: int) -> list[SearcherState]:
-        """Return the searchers that hold a shard by configuration."""
+        """Return the searchers that are configured to hold a shard."""
         return self._holders.get(shard, [])
 
     def usable(self, now: float) -> list[SearcherState]:
-        """Return the searchers that may get new work."""
+        """Return the searchers that may be sent new work."""
         return [searcher for searcher in self if searcher.is_usable(now)]
 
     @property
     def most_lacking(self) -> float:
-        """How many started searches may lack a call.
+        """The maximum number of started searches that still need a call.
 
-        They get slots in the order they were started, whatever the admission policy says of those
-        that come after them, so no more are started than the next free slots can take.
+        Started searches get slots in the order of their start, regardless of the admission policy,
+        so no more of them are started than the next free slots can serve.
         """
         held = sum(len(searcher.spec.shards) for searcher in self)
         calls_per_search = len(self.shards) * len(self._searchers) / max(held, 1)
         return self.queries_per_call * max(1.0, calls_per_search)
 
     def has_free_slot(self, now: float) -> bool:
-        """Return whether some usable searcher can take one more call."""
+        """Return whether any usable searcher can take another call."""
         return any(searcher.has_free_slot for searcher in self.usable(now))
 
     def free_share(self, now: float) -> float:
-        """Return the share of the usable searchers' slots that is free, 0 to 1."""
+        """Return the fraction of the usable searchers' slots that is free, 0 to 1."""
         usable = self.usable(now)
         slots = sum(searcher.slots for searcher in usable)
         used = sum(min(searcher.in_flight, searcher.slots) for searcher in usable)
         return 1.0 - used / slots if slots else 0.0
 
     def usable_holders(self, shards: frozenset[int], now: float) -> list[SearcherState]:
-        """Return the usable searchers that hold one of the shards by configuration."""
-        return [s for s in self.usable(now) if not shards.isdisjoint(self._held[s.spec.id])]
+        """Return the usable searchers that are configured to hold any of the shards."""
+        return [
+            s for s in self.usable(now) if not shards.isdisjoint(self._configured_shards[s.spec.id])
+        ]
 
     def stale(self, shards: frozenset[int], now: float) -> list[SearcherState]:
-        """Return the usable holders whose list of versions is too old to pin by."""
+        """Return the usable holders whose inventory is too old for choosing a snapshot."""
         holders = self.usable_holders(shards, now)
         return [s for s in holders if not s.inventory_is_fresh(now, self._max_age)]
 
     def fresh(self, searchers: list[SearcherState], now: float) -> list[SearcherState]:
-        """Return those whose last word is young enough to send work by."""
+        """Return the searchers whose inventory is recent enough for sending them work."""
         return [s for s in searchers if s.inventory_is_fresh(now, self._max_age)]
 
     def servable(self, shards: frozenset[int], min_version: int, now: float) -> tuple[int, ...]:
-        """Return the versions that fresh, usable replicas serve on every shard, newest first."""
-        evidence = self._evidence(now)
-        if self._known[0] != evidence:
-            self._known = (evidence, {})
-        kept = self._known[1]
-        question = (shards, min_version)
-        if question not in kept:
-            kept[question] = servable_versions(self._inventories(now), shards, min_version)
-        return kept[question]
+        """Return the versions that usable replicas serve for every shard, newest first.
+
+        Only replicas with a fresh inventory count.
+        """
+        evidence = self._servable_cache_key(now)
+        if self._servable_cache[0] != evidence:
+            self._servable_cache = (evidence, {})
+        cache = self._servable_cache[1]
+        key = (shards, min_version)
+        if key not in cache:
+            cache[key] = servable_versions(self._inventories(now), shards, min_version)
+        return cache[key]
 
     def best_version(self, shards: frozenset[int], min_version: int, now: float) -> int | None:
-        """Return the version to pin, complete or not, None where there is none."""
+        """Return the version to pin, even if it lacks some shards, or None if there is none."""
         return choose_version(self._inventories(now), shards, min_version)
 
     def pinnable(self, shards: frozenset[int], min_version: int, now: float) -> tuple[int, ...]:
-        """Return the servable versions, or else the one that covers most shards."""
+        """Return the servable versions, or else the version that covers the most shards."""
         versions = self.servable(shards, min_version, now)
         best = None if versions else self.best_version(shards, min_version, now)
         return versions if best is None else (best,)
@@ -163,19 +168,19 @@
     def answered(
         self, searcher: SearcherState, reply: SearcherReply, latency: float | None, now: float
     ) -> bool:
-        """Take in a searcher's reply as evidence.
+        """Update a searcher's state from its reply.
 
-        A list of versions that did not change stays the same object, by which `servable` sees that
-        its last answer still holds.
+        An unchanged list of versions keeps its object identity, from which `servable` knows that
+        its cached result is still valid.
 
         Returns:
-            Whether other instances should hear of a change in `draining`.
+            Whether other instances should be told about a change of `draining`.
         """
         versions = searcher.versions
-        news = searcher.answered(reply, latency, now)
+        draining_changed = searcher.answered(reply, latency, now)
         if searcher.versions == versions:
             searcher.versions = versions
-        return news
+        return draining_changed
 
     def choose(
         self,
@@ -186,19 +191,19 @@
         exclude: SearcherState | None = None,
         patient: bool = False,
     ) -> list[Choice]:
-        """Choose the searchers for some shards of a search, by the service's replica choice.
+        """Choose searchers for shards of a search by the service's replica choice policy.
 
-        Each choice takes all that its searcher can serve of what the ones before it left, so a
-        searcher gets one call however many shards are wanted from it.
+        Each choice covers all remaining shards that its searcher can serve, so a searcher gets a
+        single call regardless of the number of shards.
 
         Args:
-            gather: The search, pinned.
+            gather: The search; its snapshot is pinned.
             shards: Shards that need a call.
-            now: Monotonic second.
+            now: Current monotonic time in seconds.
             exclude: A searcher that must not be chosen.
             patient: Whether a call may wait for a slot of another searcher.
         """
-        able = self._able(gather, shards, exclude, now)
+        able = self._candidates(gather, shards, exclude, now)
         choices: list[Choice] = []
         left = set(shards)
         while left:
@@ -211,14 +216,14 @@
             able = [option for option in able if option[2]]
         return choices
 
-    def _able(
+    def _candidates(
         self,
         gather: Gather,
         shards: AbstractSet[int],
         exclude: SearcherState | None,
         now: float,
     ) -> list[_Option]:
-        """Return the searchers that can serve some of the shards, busy or not."""
+        """Return the searchers that can serve any of the shards, whether or not they are busy."""
         able = []
         for searcher in {s: None for shard in shards for s in self.holders(shard)}:
             if searcher is exclude or not searcher.is_usable(now):
@@ -245,11 +250,11 @@
         return best
 
     def any_paused(self, now: float) -> bool:
-        """Return whether some searcher is paused and will be tried again."""
+        """Return whether any searcher in service is paused."""
         return any(s.down_until > now and s.is_in_service for s in self._searchers.values())
 
     def comes_back(self, shard: int, now: float) -> float | None:
-        """Return when a paused holder of a shard may be tried again, None where none is paused."""
+        """Return when a holder of a shard leaves its pause first, or None if none is paused."""
         paused = [
             searcher.down_until
             for searcher in self.holders(shard)
@@ -258,7 +263,7 @@
         return min(paused, default=None)
 
     def serves_somewhere(self, shard: int, snapshot: Snapshot, now: float) -> bool:
-        """Return whether a usable replica keeps this snapshot of the shard, busy or not."""
+        """Return whether any usable replica, busy or not, has this snapshot of the shard."""
         epoch, version = snapshot
         holders = self.holders(shard)
         return any(s.is_usable(now) and s.can_serve(shard, epoch, version) for s in holders)
@@ -266,15 +271,15 @@
     def serves(
         self, searcher: SearcherState, gather: Gather, shards: AbstractSet[int]
     ) -> frozenset[int]:
-        """Return those of the shards that a searcher keeps at the search's snapshot."""
-        held = self._held.get(searcher.spec.id)
+        """Return the subset of the shards that a searcher has at the search's snapshot."""
+        held = self._configured_shards.get(searcher.spec.id)
         if gather.snapshot is None or held is None:
             return frozenset()
         epoch, version = gather.snapshot
         return frozenset(s for s in held & shards if searcher.can_serve(s, epoch, version))
 
-    def _evidence(self, now: float) -> tuple[Hashable, ...]:
-        """Return what `servable` depends on, in a form that is quick to compare."""
+    def _servable_cache_key(self, now: float) -> tuple[Hashable, ...]:
+        """Return the cache key of `servable`, in a form that is cheap to compare."""
         return tuple(
             (
                 (id(s.versions), s.epoch)
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/revisions.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/revisions.py
@@ -1,17 +1,17 @@
-"""Points in the history of the platform's store."""
+"""Revisions of the platform's store."""
 
 from typing import NamedTuple
 
 
 class Revision(NamedTuple):
-    """A point in the store's history; later ones compare greater.
+    """A revision of the store; later revisions compare greater.
 
-    The store may come back from an older copy of what it held. It then begins a new era, in which
-    it gives out revisions again, so a number says nothing without its era.
+    The store may come back from an older copy of its data. It then begins a new era and assigns
+    the same revision numbers again, so a number is meaningless without its era.
 
     Attributes:
-        era: How often the store came back; 0 where its answer, or an instance, didn't say.
-        number: The store's count of changes; 0 where nothing is known yet.
+        era: How often the store came back from an older copy; 0 if not stated.
+        number: The store's count of changes; 0 if nothing is known yet.
     """
 
     era: int = 0
@@ -19,5 +19,5 @@
 
 
 NOTHING_KNOWN = Revision()
-# Before the first answer: below the first era of any store, also of one that counts from 0.
+# The era before the first answer: lower than the first era of any store, even if that is 0.
 UNKNOWN_ERA = -1
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/schedulers.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/schedulers.py
@@ -1,4 +1,4 @@
-"""The scheduler of one group: takes events in, gives actions out, and leaves each job to a part."""
+"""The scheduler of one group: turns events into actions and delegates to its components."""
 
 from random import Random
 
@@ -38,16 +38,16 @@
 
 
 class GroupScheduler:
-    """Decides all that concerns one group of shards at one owner instance.
+    """Makes all decisions about one group of shards at one owner instance.
 
-    Every method takes the current monotonic second and returns what to do, in order. The caller
-    carries the actions out and reports what became of each call exactly once, by `call_answered`
-    or `call_failed`.
+    Every event method takes the current monotonic time in seconds and returns the actions to take,
+    in order. The caller executes the actions and reports the outcome of each call exactly once, by
+    `call_answered` or `call_failed`.
 
     Args:
         spec: The service.
         group: The group.
-        rng: Source for jitter and for the choice among equals.
+        rng: Source of randomness for jitter and tie-breaking.
     """
 
     def __init__(self, spec: ServiceSpec, group: Group, rng: Random) -> None:
@@ -76,7 +76,7 @@
 
     @property
     def replicas(self) -> ReplicaSet:
-        """The group's searchers with the evidence on each."""
+        """The group's searchers with their observed state."""
         return self._replicas
 
     @property
@@ -85,10 +85,11 @@
         return self._slots.is_idle and not (self._active or self._calls or len(self._queue))
 
     def reconfigure(self, spec: ServiceSpec, group: Group, now: float) -> list[Action]:
-        """Go over to a new configuration with all that is open.
+        """Apply a new configuration without dropping open work.
 
-        Searches that run keep their snapshot, and so do those that wait their place. Starting a
-        second scheduler instead would use every searcher's slots twice until the first ended.
+        Running searches keep their snapshot and waiting searches keep their place in the queue.
+        Starting a second scheduler instead would use every searcher's slots twice until the first
+        one had finished.
         """
         if spec.epoch != self._spec.epoch:
             self._restart_unpinned(now)
@@ -96,46 +97,46 @@
         self._replicas.reconfigure(spec, group)
         self._repeats.reconfigure(spec.hedge)
         self._suspects.forget()
-        self._move_queue()
-        return self._pump(now)
+        self._rebuild_queue()
+        return self._run(now)
 
     def search_arrived(self, search: Search, now: float) -> list[Action]:
-        """Take in a search; it is answered by `Complete`, `Servable` or `Refuse`, exactly once."""
+        """Process a new search; exactly one `Complete`, `Servable` or `Refuse` answers it."""
         gather = Gather(search, self._spec.objective, now)
-        self._probe_leaving(now)
+        self._probe_leaving_searchers(now)
         if search.deadline <= now:
             message = "The deadline has passed; the search was not run."
-            self._refuse_unstarted(gather, "deadline_passed", DeadlinePassed(message))
+            self._refuse_before_start(gather, "deadline_passed", DeadlinePassed(message))
         elif quarantined_for := self._suspects.seconds_left(gather.key, now):
-            message = "Each searcher that ran this query ended."
+            message = "Every searcher that ran this query terminated."
             error = Quarantined(message, retry_after=quarantined_for)
-            self._refuse_unstarted(gather, error.code, error)
-        elif self._is_of_another_cut(search):
-            self._restart_elsewhere(gather, now)
-        elif search.versions_only or self._needs_no_call(gather, now):
+            self._refuse_before_start(gather, error.code, error)
+        elif self._has_other_partitioning(search):
+            self._refuse_for_restart(gather, now)
+        elif search.versions_only or self._is_covered(gather, now):
             self._start(gather)
         elif now + self._waits.estimate(search.firm, now) > self._repeats.latest_start(gather):
             self._refuse_overload(gather, "wait_too_long", now)
         else:
-            self._let_wait(gather, now)
-        return self._pump(now)
+            self._enqueue(gather, now)
+        return self._run(now)
 
     def search_abandoned(self, search_id: str, now: float) -> list[Action]:
-        """Drop a search whose caller left; it gets no answer."""
+        """Drop a search whose caller disconnected; it is not answered."""
         waiting = next((g for g in self._queue if g.search.id == search_id), None)
         if waiting is not None:
             self._queue.remove(waiting)
         self._finish(search_id)
-        return self._pump(now)
+        return self._run(now)
 
     def call_answered(self, call_id: str, reply: SearcherReply, now: float) -> list[Action]:
-        """Take in a searcher's reply."""
+        """Process a searcher's reply."""
         call = self._calls.end(call_id)
         if call is None:
             return []
         latency = now - call.started
-        charged = None if call.is_inventory or call.cancelled else latency
-        if self._replicas.answered(call.searcher, reply, charged, now):
+        measured = None if call.is_inventory or call.cancelled else latency
+        if self._replicas.answered(call.searcher, reply, measured, now):
             self._outbox.add(TellDrain(call.searcher.spec.id, reply.draining))
             self._outbox.count("searcher_drains", "left" if reply.draining else "back")
         if call.cancelled:
@@ -144,12 +145,12 @@
         elif not call.is_inventory:
             self._repeats.call_answered(latency)
         self._sender.take_reply(call, reply, now)
-        return self._pump(now)
+        return self._run(now)
 
     def call_failed(
         self, call_id: str, failure: Failure, retry_after: float | None, now: float
     ) -> list[Action]:
-        """Take in that a call gave no reply that can be used."""
+        """Process a call that got no usable reply."""
         call = self._calls.end(call_id)
         if call is None:
             return []
@@ -159,38 +160,38 @@
         if failure is Failure.TIMEOUT and not call.is_inventory:
             self._repeats.call_cut_short(now - call.started)
         self._sender.take_failure(call, failure, now)
-        return self._pump(now)
+        return self._run(now)
 
     def slot_wanted(self, request: SlotRequest, now: float) -> list[Action]:
-        """Take in a booking's wish; it is answered by `GrantSlot` or `DenySlot`, exactly once."""
-        self._probe_leaving(now)
+        """Process a booking's slot request; exactly one `GrantSlot` or `DenySlot` answers it."""
+        self._probe_leaving_searchers(now)
         self._slots.wanted(request)
-        return self._pump(now)
+        return self._run(now)
 
     def slot_released(
         self, request_id: str, failure: Failure | None, retry_after: float | None, now: float
     ) -> list[Action]:
-        """Take in that a booking no longer uses its slot, and how its dispatch ended."""
+        """Release a booking's slot and process the outcome of its dispatch."""
         self._slots.released(request_id, failure, retry_after, now)
-        return self._pump(now)
+        return self._run(now)
 
     def drain_noted(
         self, searcher_id: str, draining: bool, said_at: float, listed: bool, now: float
     ) -> list[Action]:
-        """Take in what another instance heard of a searcher, or what the platform's list says."""
+        """Process a drain notice from another instance or from the platform's list."""
         if searcher_id in self._replicas:
             self._outbox.count("searcher_drain_notices", "list" if listed else "peer")
             if listed:
                 self._replicas[searcher_id].drain_listed(draining, now)
             else:
                 self._replicas[searcher_id].drain_noted(draining, said_at)
-        return self._pump(now)
+        return self._run(now)
 
     def tick(self, now: float) -> list[Action]:
-        """Act on the passage of time."""
-        return self._pump(now)
+        """Process timeouts that have expired."""
+        return self._run(now)
 
-    def _pump(self, now: float) -> list[Action]:
+    def _run(self, now: float) -> list[Action]:
         self._expire(now)
         self._slots.serve(now)
         for gather in self._active:
@@ -202,25 +203,25 @@
         if not len(self._queue):
             self._sender.hedge(now)
         self._sender.cancel_useless()
-        self._wake(now)
+        self._schedule_wake_up(now)
         return self._outbox.drain()
 
     def _advance(self, gather: Gather, now: float) -> None:
-        """Bring one search as far as it gets without another call."""
+        """Advance one search as far as possible without another call."""
         if not gather.is_pinned:
             if not self._pin(gather, now):
                 return
             self._sender.fill(gather)
-        self._drop_hopeless(gather, now)
+        self._give_up_unservable(gather, now)
         is_over = gather.is_pinned and (gather.is_finished or gather.is_lost)
         if is_over and gather.search.id in self._active:
-            self._conclude(gather, "floor_missed", now)
+            self._answer(gather, "floor_missed", now)
 
-    def _probe_leaving(self, now: float) -> None:
-        """Ask leaving searchers whether they are back, once a while and only with traffic.
+    def _probe_leaving_searchers(self, now: float) -> None:
+        """Probe leaving searchers for their return, at intervals and only while there is traffic.
 
-        The answer takes no slot and comes from the searcher itself. Without it a searcher whose
-        drain was called off, or that was restarted, would never get work again.
+        A probe uses no slot and is answered by the searcher itself. Without probes, a searcher
+        whose drain was cancelled, or that was restarted, would never get work again.
         """
         for searcher in self._replicas:
             if searcher.wants_probe(now):
@@ -230,10 +231,11 @@
     # Admission
 
     def _admit(self, now: float) -> None:
-        """Start waiting searches while they can use slots, or learn at once that none is left.
+        """Start queued searches while slots are free, or while no searcher is usable.
 
-        Several may start for one free slot, because one call can carry several queries; their
-        number is bounded so that the queue's policy goes on deciding who is next.
+        In the latter case they fail at once instead of waiting. Several searches may start for one
+        free slot, because one call can carry several queries; their number is bounded so that the
+        queue's policy still decides which search is next.
         """
         while len(self._queue) and self._may_start(now):
             gather = self._queue.pop(now)
@@ -248,20 +250,22 @@
         if not self._replicas.has_free_slot(now):
             return False
         unpinned = sum(not gather.is_pinned for gather in self._active)
-        lacking = sum(bool(gather.idle) for gather in self._active)
-        return unpinned < _MAX_UNPINNED and lacking < self._replicas.most_lacking
+        needing_call = sum(bool(gather.idle) for gather in self._active)
+        return unpinned < _MAX_UNPINNED and needing_call < self._replicas.most_lacking
 
-    def _needs_no_call(self, gather: Gather, now: float) -> bool:
-        """Return whether kept answers and open calls will bring all that a search wants."""
+    def _is_covered(self, gather: Gather, now: float) -> bool:
+        """Return whether cached results and open calls will cover all shards of a search."""
         search = gather.search
         servable = self._replicas.servable(search.shards, search.min_version, now)
         version = servable[0] if search.pinned is None and servable else search.pinned
         return version is not None and self._sender.will_bring_all(gather, version)
 
-    def _let_wait(self, gather: Gather, now: float) -> None:
-        out = self._queue.offer(gather)
-        if out is not None:
-            self._refuse_overload(out, "queue_full" if out is gather else "gave_way", now)
+    def _enqueue(self, gather: Gather, now: float) -> None:
+        displaced = self._queue.offer(gather)
+        if displaced is not None:
+            self._refuse_overload(
+                displaced, "queue_full" if displaced is gather else "gave_way", now
+            )
 
     def _start(self, gather: Gather) -> None:
         self._active.add(gather)
@@ -271,42 +275,42 @@
         if gather is not None:
             self._sender.wants_less(gather.key)
 
-    def _move_queue(self) -> None:
-        """Make the queue anew by the new configuration; nobody who waits is refused for that."""
+    def _rebuild_queue(self) -> None:
+        """Rebuild the queue for a new configuration without refusing any waiting search."""
         waiting = sorted(self._queue, key=lambda gather: gather.arrived)
         self._queue = queue_for(self._spec)
         self._waits.queue = self._queue
         for gather in waiting:
-            out = self._queue.offer(gather)
-            if out is not None:
-                self._start(out)
+            displaced = self._queue.offer(gather)
+            if displaced is not None:
+                self._start(displaced)
 
     # Snapshot
 
     def _pin(self, gather: Gather, now: float) -> bool:
-        """Choose a search's snapshot; false where it has none now."""
+        """Pin a snapshot for a search; return False if none can be pinned now."""
         search = gather.search
-        if self._is_of_another_cut(search):
-            self._restart_elsewhere(gather, now)
+        if self._has_other_partitioning(search):
+            self._refuse_for_restart(gather, now)
             return False
         match self._pinner.pin(gather, now):
             case Pin.WAITING:
                 return False
             case Pin.IMPOSSIBLE:
-                self._conclude(gather, "no_replica", now)
+                self._answer(gather, "no_replica", now)
                 return False
         if search.versions_only:
-            self._tell_versions(search, now)
+            self._answer_versions(search, now)
             return False
         return True
 
-    def _tell_versions(self, search: Search, now: float) -> None:
+    def _answer_versions(self, search: Search, now: float) -> None:
         versions = self._replicas.pinnable(search.shards, search.min_version, now)
         self._outbox.add(Servable(search.id, ServableVersions(self._replicas.epoch, versions)))
         self._finish(search.id)
 
-    def _drop_hopeless(self, gather: Gather, now: float) -> None:
-        """Stop waiting for shards that no replica will serve before the answer is due."""
+    def _give_up_unservable(self, gather: Gather, now: float) -> None:
+        """Give up shards that no replica will serve before the answer is due."""
         for shard in tuple(gather.idle):
             assert gather.snapshot is not None
             if self._replicas.serves_somewhere(shard, gather.snapshot, now):
@@ -314,8 +318,8 @@
             back = self._replicas.comes_back(shard, now)
             if back is not None and back < gather.horizon():
                 continue
-            if self._is_of_another_cut(gather.search) and gather.search.deadline > now:
-                return self._restart_elsewhere(gather, now)
+            if self._has_other_partitioning(gather.search) and gather.search.deadline > now:
+                return self._refuse_for_restart(gather, now)
             if not any(holder.is_usable(now) for holder in self._replicas.holders(shard)):
                 gather.give_up(shard, "no_replica")
             elif self._restart(gather, now):
@@ -324,30 +328,31 @@
                 gather.give_up(shard, "version_gone")
         return None
 
-    def _is_of_another_cut(self, search: Search) -> bool:
-        """Return whether the shards are cut otherwise here than when the search named its own.
+    def _has_other_partitioning(self, search: Search) -> bool:
+        """Return whether a search names shards of a different partitioning.
 
-        Numbers of the old cut often exist in the new one, too. A search that were pinned at the
-        new epoch with them would be called complete without the shards that only the new cut has.
+        Shard numbers of the old partitioning often exist in the new one, too. A search for them
+        that was pinned at the new epoch would be reported as complete without the shards that exist
+        only in the new partitioning.
         """
         return search.epoch != self._replicas.epoch or not search.shards <= self._replicas.shards
 
     def _restart_unpinned(self, now: float) -> None:
-        """Start over what would be pinned at the new cut with the shards of the old one."""
+        """Restart unpinned searches, which name shards of the previous partitioning."""
         for gather in (*self._queue, *self._active):
             if not gather.is_pinned:
                 self._queue.remove(gather)
-                self._restart_elsewhere(gather, now)
+                self._refuse_for_restart(gather, now)
 
-    def _restart_elsewhere(self, gather: Gather, now: float) -> None:
-        """Have the coordinator start over, since it knows which shards there are now."""
+    def _refuse_for_restart(self, gather: Gather, now: float) -> None:
+        """Make the coordinator restart a search, since it knows the current shards."""
         self._outbox.count("search_restarts", "repartition")
-        message = "The service was partitioned anew while the search ran."
+        message = "The service was repartitioned while the search was running."
         self._outbox.add(Refuse(gather.search.id, VersionGone(message)))
         self._finish(gather.search.id)
 
     def _restart(self, gather: Gather, now: float) -> bool:
-        """Start over at another snapshot if that can cover more, and can be done in time."""
+        """Restart a search at another snapshot if that can cover more shards in time."""
         search = gather.search
         if search.pinned is not None or not gather.may_restart():
             return False
@@ -370,16 +375,16 @@
     def _expire(self, now: float) -> None:
         for gather in self._active:
             if now >= gather.search.deadline:
-                self._conclude(gather, "deadline", now)
+                self._answer(gather, "deadline", now)
             elif now >= gather.answer_at and gather.is_pinned and gather.meets_floor:
-                self._conclude(gather, "objective", now)
+                self._answer(gather, "objective", now)
         for gather in tuple(self._queue):
             if now >= self._repeats.latest_start(gather):
                 self._queue.remove(gather)
                 self._refuse_overload(gather, "waited_out", now)
 
-    def _conclude(self, gather: Gather, reason: str, now: float) -> None:
-        """Give a search its final answer, or the typed error that says why there is none."""
+    def _answer(self, gather: Gather, reason: str, now: float) -> None:
+        """Send a search its final answer, or the typed error that explains why there is none."""
         verdict = self._verdicts.conclude(gather, reason, now)
         if isinstance(verdict, Refuse):
             self._refuse(gather, verdict.error)
@@ -393,22 +398,22 @@
 
     def _refuse_overload(self, gather: Gather, reason: str, now: float) -> None:
         error = self._verdicts.overloaded(gather.search.firm, reason, now)
-        self._refuse_unstarted(gather, reason, error)
+        self._refuse_before_start(gather, reason, error)
 
-    def _refuse_unstarted(self, gather: Gather, reason: str, error: LimpethollowError) -> None:
+    def _refuse_before_start(self, gather: Gather, reason: str, error: LimpethollowError) -> None:
         self._outbox.count("admissions_refused", f"{gather.search.firm}/{reason}")
         self._refuse(gather, error)
 
     # Timing
 
-    def _wake(self, now: float) -> None:
-        times = [*self._search_times(now), *self._sender.hedge_times()]
+    def _schedule_wake_up(self, now: float) -> None:
+        times = [*self._search_wake_times(now), *self._sender.hedge_times()]
         times += self._slots.deadlines()
-        later = [when for when in times if when > now]
-        if later:
-            self._outbox.add(WakeAt(min(later)))
+        future = [at for at in times if at > now]
+        if future:
+            self._outbox.add(WakeAt(min(future)))
 
-    def _search_times(self, now: float) -> list[float]:
+    def _search_wake_times(self, now: float) -> list[float]:
         times = [self._repeats.latest_start(gather) for gather in self._queue]
         for gather in self._active:
             times += [gather.search.deadline, gather.answer_at]
