--- a/benchmarks/ablation/mechanisms.py
+++ b/benchmarks/ablation/mechanisms.py
@@ -169,21 +169,21 @@
 _mechanism(
     "slowness",
     "a searcher's past call times don't count",
-    _searchers("self.slowness += _NEWEST * (ratio - self.slowness)", "pass"),
+    _searchers("self.slowness += _SMOOTHING * (ratio - self.slowness)", "pass"),
     _searchers(
-        "self.slowness += _NEWEST * (min(ratio, _SLOWEST) - self.slowness)",
+        "self.slowness += _SMOOTHING * (min(ratio, _MAX_SLOWNESS) - self.slowness)",
         "pass",
     ),
 )
 _mechanism(
     "failures",
     "a searcher's past failures don't count",
-    _searchers("_FAILURE_WEIGHT = 8.0", "_FAILURE_WEIGHT = 0.0"),
+    _searchers("_FAILURE_COST_WEIGHT = 8.0", "_FAILURE_COST_WEIGHT = 0.0"),
 )
 _mechanism(
     "stuck",
     "a call that is under way for long doesn't count",
-    _searchers("_STUCK_FACTOR = 4.0", "_STUCK_FACTOR = 1.0"),
+    _searchers("_STUCK_COST_FACTOR = 4.0", "_STUCK_COST_FACTOR = 1.0"),
 )
 _mechanism(
     "own-domain",
@@ -193,7 +193,7 @@
 _mechanism(
     "unlisted",
     "searchers whose entry is gone count like the others",
-    _searchers("_UNLISTED_FACTOR = 6.0", "_UNLISTED_FACTOR = 1.0"),
+    _searchers("_UNLISTED_COST_FACTOR = 6.0", "_UNLISTED_COST_FACTOR = 1.0"),
 )
 _mechanism(
     "isolation",
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/searches.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/searches.py
@@ -1,4 +1,4 @@
-"""The searches of one group that have started and have no answer yet."""
+"""The searches of one group that have started and are not answered yet."""
 
 from collections.abc import Iterator
 
@@ -6,7 +6,7 @@
 
 
 class ActiveSearches:
-    """Started searches in order of their start, found by id or by query."""
+    """Started searches in start order, indexed by id and by query key."""
 
     __slots__ = ("_by_id", "_by_key")
 
@@ -24,21 +24,21 @@
         return search_id in self._by_id
 
     def add(self, gather: Gather) -> None:
-        """Add a search that starts."""
+        """Add a search that is being started."""
         self._by_id[gather.search.id] = gather
         self._by_key.setdefault(gather.key, {})[gather.search.id] = gather
 
     def remove(self, search_id: str) -> Gather | None:
-        """Take out a search that got its answer or whose caller left."""
+        """Remove and return a search, or None if it is not active."""
         gather = self._by_id.pop(search_id, None)
         if gather is None:
             return None
-        same = self._by_key[gather.key]
-        del same[search_id]
-        if not same:
+        same_query = self._by_key[gather.key]
+        del same_query[search_id]
+        if not same_query:
             del self._by_key[gather.key]
         return gather
 
     def asking(self, key: str) -> tuple[Gather, ...]:
-        """Return the searches that ask the same query."""
+        """Return the searches with a given query key."""
         return tuple(self._by_key.get(key, {}).values())
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/senders.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/senders.py
@@ -1,4 +1,4 @@
-"""Which calls are made, what they carry, and who gets what they bring."""
+"""Makes the calls of a group's searches and distributes their results."""
 
 from limpethollow_policy.connection.searchers import SearcherState
 from limpethollow_policy.process.calls import CallTable, OpenCall, Work
@@ -14,7 +14,7 @@
 from limpethollow_wire.searches import CallQuery, SearcherReply
 
 _INVENTORY_TIMEOUT = 0.25
-_UNNAMED = "failed"
+_NO_PART = "failed"
 _VERSION_GONE = "version_gone"
 _QUARANTINED = "quarantined"
 
@@ -22,24 +22,24 @@
 class CallSender:
     """Makes the calls of one group's searches.
 
-    One call goes to a searcher however many shards are wanted from it. It carries the queries of
-    other searches at the same snapshot too, and a search joins calls and kept answers of others
-    that asked the same.
+    A searcher gets one call for all shards that are needed from it. The call also carries the
+    queries of other searches at the same snapshot, and a search shares the open calls and cached
+    results of other searches with the same query.
 
     Args:
         replicas: The group's searchers.
         active: The started searches.
         calls: The open calls.
-        repeats: Budgets of hedges and retries.
-        suspects: Queries that may end their searchers.
-        outbox: Where actions go.
+        repeats: The limits of hedges and retries.
+        suspects: Queries suspected of crashing their searchers.
+        outbox: Collects the actions.
     """
 
     __slots__ = (
         "_active",
         "_calls",
-        "_changed",
-        "_kept",
+        "_changed_keys",
+        "_results",
         "_outbox",
         "_repeats",
         "_replicas",
@@ -61,18 +61,18 @@
         self._repeats = repeats
         self._suspects = suspects
         self._outbox = outbox
-        self._kept = ResultCache()
-        self._changed: set[str] = set()
+        self._results = ResultCache()
+        self._changed_keys: set[str] = set()
 
     def will_bring_all(self, gather: Gather, version: int) -> bool:
-        """Return whether a search needs no call of its own at a version."""
+        """Return whether open calls and cached results cover a whole search at a version."""
         snapshot = Snapshot(self._replicas.epoch, version)
         busy = self._calls.busy_shards(gather.key, snapshot)
-        return self._kept.has_all(gather.key, snapshot, gather.search.shards - busy)
+        return self._results.has_all(gather.key, snapshot, gather.search.shards - busy)
 
     def fill(self, gather: Gather) -> None:
-        """Give a search what others' calls brought, or will bring, for its query and snapshot."""
-        if self._kept.fill(gather):
+        """Add cached results to a search, and join it to open calls for its query and snapshot."""
+        if self._results.fill(gather):
             self._outbox.count("shared_answers", "kept")
         if gather.snapshot is None:
             return
@@ -83,15 +83,15 @@
             gather.asked_shards |= joined
 
     def wants_less(self, key: str) -> None:
-        """Note that fewer searches wait for a query, so calls for it may be useless now."""
-        self._changed.add(key)
+        """Record that fewer searches wait for a query, so its calls may have become useless."""
+        self._changed_keys.add(key)
 
     def ask_inventory(self, searcher: SearcherState, now: float) -> None:
-        """Ask a searcher for its index versions."""
+        """Send a searcher an inventory call, which asks for its index versions."""
         self._start(searcher, Snapshot(self._replicas.epoch, 0), {}, _INVENTORY_TIMEOUT, now)
 
     def assign(self, now: float, *, patient: bool) -> bool:
-        """Make the calls that free slots allow; false where there was none to make."""
+        """Make the calls that free slots allow; return whether any was made."""
         made = False
         idle = [gather for gather in self._active if gather.idle]
         free_share = self._replicas.free_share(now) if idle else 0.0
@@ -103,77 +103,78 @@
         return made
 
     def hedge(self, now: float) -> None:
-        """Repeat calls that take unusually long on other replicas, within the budget."""
+        """Hedge unusually slow calls on other replicas, within the budget."""
         delay = self._repeats.hedge_delay()
         if delay is None:
             return
         for call in self._calls:
-            first = not (call.is_inventory or call.hedge or call.cancelled)
-            if first and now - call.started >= delay:
+            is_first_send = not (call.is_inventory or call.hedge or call.cancelled)
+            if is_first_send and now - call.started >= delay:
                 self._hedge_call(call, now)
 
     def hedge_times(self) -> list[float]:
-        """Return the seconds at which calls become old enough for a hedge."""
+        """Return the times at which open calls become old enough to be hedged."""
         delay = self._repeats.hedge_delay()
         if delay is None:
             return []
         return [c.started + delay for c in self._calls if not (c.is_inventory or c.hedge)]
 
     def cancel_useless(self) -> None:
-        """Cancel the calls that can bring nothing any more that somebody waits for."""
-        if not self._changed:
+        """Cancel the calls whose results no search waits for any more."""
+        if not self._changed_keys:
             return
-        changed, self._changed = self._changed, set()
+        changed, self._changed_keys = self._changed_keys, set()
         for call in self._calls:
-            may_be = not (call.cancelled or changed.isdisjoint(call.work))
-            if may_be and not self._is_useful(call):
+            is_affected = not (call.cancelled or changed.isdisjoint(call.work))
+            if is_affected and not self._is_useful(call):
                 self._calls.cancel(call)
                 self._outbox.add(CancelCall(call.id))
                 self._outbox.count("searcher_calls_cancelled")
 
     def take_reply(self, call: OpenCall, reply: SearcherReply, now: float) -> None:
-        """Hand out a reply's parts; a shard asked for and not answered has failed, named or not.
+        """Distribute the parts of a reply; a requested shard without a part counts as failed.
 
-        A part is taken for the query and shard that this call asked for and no other, so a reply
-        that is crossed, doubled or short adds nothing to an answer.
+        It counts as failed whether or not the reply has an error for it. Only parts for queries and
+        shards of this call are accepted, so misrouted, duplicate or truncated replies add nothing
+        to an answer.
         """
         for part in reply.parts:
             if part.shard in call.work.get(part.id, ()):
                 snapshot = Snapshot(reply.epoch, part.version)
-                self._hand_out(call, part.id, part.shard, snapshot, part.rows)
+                self._distribute_part(call, part.id, part.shard, snapshot, part.rows)
         self._suspects.survived(call.work, now)
         if call.cancelled:
             return
-        self._work_ended(call)
+        self._mark_idle(call)
         codes = {(error.id, error.shard): error.code for error in reply.errors}
         for key, shards in call.work.items():
-            failed = {shard: codes.get((key, shard), _UNNAMED) for shard in shards}
+            failed = {shard: codes.get((key, shard), _NO_PART) for shard in shards}
             self._shards_failed(call, key, failed)
 
     def take_failure(self, call: OpenCall, failure: Failure, now: float) -> None:
-        """Have a failed call's work done again where the budget allows."""
+        """Retry the work of a failed call if the budget allows it."""
         if failure is Failure.LOST:
             self._suspects.lost(call, now)
         if call.cancelled:
             return
         self._outbox.count("searcher_call_failures", failure)
-        self._work_ended(call)
+        self._mark_idle(call)
         for key, shards in call.work.items():
             self._shards_failed(call, key, dict.fromkeys(shards, str(failure)))
 
-    def _hand_out(
+    def _distribute_part(
         self, call: OpenCall, key: str, shard: int, snapshot: Snapshot, rows: list[object]
     ) -> None:
         if snapshot != call.snapshot:
             self._outbox.count("parts_refused", "snapshot")
             return
-        self._kept.keep(key, snapshot, shard, rows)
+        self._results.keep(key, snapshot, shard, rows)
         for gather in self._active.asking(key):
             gather.accept(shard, snapshot, rows)
-        self._changed.add(key)
+        self._changed_keys.add(key)
 
-    def _work_ended(self, call: OpenCall) -> None:
-        """Make the shards idle that an ended call did not bring and no other will."""
+    def _mark_idle(self, call: OpenCall) -> None:
+        """Mark the shards of an ended call idle that are still open and in no other call."""
         for key, shards in call.work.items():
             lost = shards - self._calls.busy_shards(key, call.snapshot)
             for gather in self._active.asking(key):
@@ -188,14 +189,14 @@
                 self._shard_failed(gather, call, shard, failed[shard])
 
     def _shard_failed(self, gather: Gather, call: OpenCall, shard: int, reason: str) -> None:
-        """Let a shard be tried again, or give it up with its reason."""
+        """Allow another try of a failed shard, or give it up with the reason."""
         may_retry = gather.failed(shard, call.searcher.spec.id)
         if shard not in gather.idle:
             return
         if self._suspects.standing(gather.key) is Standing.QUARANTINED:
             gather.give_up(shard, _QUARANTINED)
             return
-        if reason == _VERSION_GONE and not self._claims(call, shard):
+        if reason == _VERSION_GONE and not self._still_lists_snapshot(call, shard):
             return
         if not may_retry:
             gather.give_up(shard, reason)
@@ -207,11 +208,11 @@
             self._outbox.count("retries_refused", "budget")
             gather.give_up(shard, reason)
 
-    def _claims(self, call: OpenCall, shard: int) -> bool:
-        """Return whether a searcher lists the snapshot that it just said is gone.
+    def _still_lists_snapshot(self, call: OpenCall, shard: int) -> bool:
+        """Return whether a searcher still lists the snapshot that it just reported as gone.
 
-        Taking it at its list would send it the same call again and again without end, so such a
-        reply counts as a failure with its bounded retries.
+        Trusting its list would send it the same call in an endless loop, so such a reply counts as
+        a failure, whose retries are bounded.
         """
         epoch, version = call.snapshot
         return call.searcher.can_serve(shard, epoch, version)
@@ -223,7 +224,7 @@
         self._repeats.call_started(free_share)
 
     def _batch(self, first: Gather, choice: Choice) -> dict[str, frozenset[int]]:
-        """Return one search's work joined with what others need of the same searcher."""
+        """Return the work of one search, combined with what others need from the same searcher."""
         work = {first.key: choice.shards}
         if not self._suspects.is_trusted(first.key):
             return work
@@ -264,7 +265,7 @@
         return call
 
     def _hedge_call(self, call: OpenCall, now: float) -> None:
-        """Repeat one call's open work on other replicas, once for each shard."""
+        """Hedge the open work of one call on other replicas, at most once per shard."""
         for key, shards in call.work.items():
             waiting = [g for g in self._active.asking(key) if g.snapshot == call.snapshot]
             open_shards = frozenset().union(*(g.open_shards for g in waiting))
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/shutdowns.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/shutdowns.py
@@ -1,14 +1,14 @@
 """The graceful shutdown of one instance, from the first signal to its exit.
 
-The instance goes through these states, and never back:
+The instance passes through these states and never returns to an earlier one:
 
     starting -> serving -> leaving -> closing -> given_up -> exited
                               |          |                     ^
                               +----------+---------------------+
 
-`leaving` lasts until every address that callers hold has expired, `closing` until nothing is open
-any more. The bound, or a second signal, ends either of them by `given_up`, in which all that still
-waits gets a true typed answer.
+`leaving` lasts until no caller holds an unexpired route to the instance, `closing` until no work is
+open any more. The time limit or a second signal ends either state early: in `given_up`, all
+requests that still wait get a truthful typed answer.
 """
 
 from dataclasses import dataclass
@@ -22,14 +22,14 @@
 
 
 class InstanceState(StrEnum):
-    """What an instance does with requests.
+    """How an instance treats requests.
 
     Attributes:
-        STARTING: It binds its listeners.
-        SERVING: It takes all requests.
-        LEAVING: It answers all requests, but takes no new booking token and is in no new route.
-        CLOSING: As leaving; replies ask callers to close their connections.
-        GIVEN_UP: Whatever still waits gets its typed answer now.
+        STARTING: It is binding its listeners.
+        SERVING: It accepts all requests.
+        LEAVING: It answers all requests, but accepts no new booking tokens and is in no new routes.
+        CLOSING: Like `LEAVING`, and replies ask callers to close their connections.
+        GIVEN_UP: All requests that still wait get their typed answers now.
         EXITED: The listeners are closed.
     """
 
@@ -42,12 +42,12 @@
 
 
 class ExitReason(StrEnum):
-    """Why the waiting ended.
+    """Why the shutdown stopped waiting.
 
     Attributes:
-        DRAINED: Nothing was open any more.
-        BOUND: The bound was reached with requests still open.
-        SECOND_SIGNAL: A second signal asked for the end.
+        DRAINED: No work was open any more.
+        BOUND: The time limit was reached with requests still open.
+        SECOND_SIGNAL: A second signal requested an immediate exit.
     """
 
     DRAINED = "drained"
@@ -62,26 +62,26 @@
 
 @dataclass(slots=True, frozen=True)
 class RefuseTokens:
-    """Take no booking token that was not seen before; it is refused as not run."""
+    """Refuse booking tokens that were not seen before as not run."""
 
 
 @dataclass(slots=True, frozen=True)
 class TellPeer:
-    """Tell one peer that this instance is leaving, and ask how long callers may keep it."""
+    """Tell a peer that this instance is leaving, and ask how long callers may hold its address."""
 
     peer_id: str
 
 
 @dataclass(slots=True, frozen=True)
 class GiveUp:
-    """Give everything that still waits its typed answer now."""
+    """Answer all requests that still wait with their typed errors now."""
 
     reason: ExitReason
 
 
 @dataclass(slots=True, frozen=True)
 class Exit:
-    """Close the listeners and end the process."""
+    """Close the listeners and exit the process."""
 
     reason: ExitReason
 
@@ -91,13 +91,13 @@
 
 @dataclass(slots=True, frozen=True)
 class OpenWork:
-    """What is open at the instance.
+    """The open work of the instance.
 
     Attributes:
-        requests: Requests of callers and of peers that have no answer yet.
-        last_arrival: Monotonic second of the last search or booking of a caller. Route answers and
-            look-ups are left out: they are safe to repeat, and callers that ask for routes here
-            again and again must not hold the exit.
+        requests: Number of unanswered requests of callers and peers.
+        last_arrival: Monotonic time in seconds of the last search or booking from a caller. Route
+            requests and look-ups don't count: they are safe to repeat, and callers that keep
+            requesting routes here must not delay the exit.
     """
 
     requests: int
@@ -105,7 +105,7 @@
 
 
 class RoutesGiven:
-    """Until when callers may hold an instance's address, by the route answers given here."""
+    """Tracks how long callers may hold instances' addresses from route answers given here."""
 
     __slots__ = ("_until",)
 
@@ -113,35 +113,35 @@
         self._until: dict[str, float] = {}
 
     def answered(self, instance_ids: tuple[str, ...], ttl: float, now: float) -> None:
-        """Note a route answer that names these instances."""
+        """Record a route answer that names these instances."""
         for instance_id in instance_ids:
             self._until[instance_id] = max(self._until.get(instance_id, 0.0), now + ttl)
 
     def held(self, instance_id: str, now: float) -> float:
-        """Return for how many seconds callers may still hold an instance's address."""
+        """Return the seconds for which callers may still hold an instance's address."""
         return max(self._until.get(instance_id, 0.0) - now, 0.0)
 
     def forget_expired(self, now: float) -> None:
-        """Drop what no caller holds any more, so that replaced instances leave nothing behind."""
+        """Drop expired entries, so that replaced instances don't use memory."""
         self._until = {key: until for key, until in self._until.items() if until > now}
 
 
 class Shutdown:
     """Decides when an instance that was asked to leave may close and exit.
 
-    The wait is worked out from the route answers that were really given, here and at each peer, so
-    it is neither a guess that cuts callers off nor longer than needed.
+    The wait is computed from the route answers actually given, here and at every peer, so it
+    neither cuts callers off nor lasts longer than necessary.
 
     Args:
-        linger: Seconds to stay useful at least.
-        bound: Seconds from the first signal to the exit at the latest.
+        linger: Minimum time in seconds during which requests are still served.
+        bound: Maximum time in seconds from the first signal to the exit.
     """
 
     __slots__ = (
         "_abort_at",
         "_bound",
         "_held_until",
-        "_known_peers",
+        "_seen_peers",
         "_linger",
         "_reason",
         "_state",
@@ -159,7 +159,7 @@
         self._held_until = 0.0
         self._abort_at = float("inf")
         self._untold: set[str] = set()
-        self._known_peers: set[str] = set()
+        self._seen_peers: set[str] = set()
         self._untold_ttl = 0.0
 
     @property
@@ -176,31 +176,31 @@
     def asks_to_close(self) -> bool:
         """Whether replies ask callers to close their connections.
 
-        Not while leaving: callers who still hold the address would pay for a new connection with
-        every request.
+        This is not the case while leaving: callers that still hold the address would need a new
+        connection for every request.
         """
         return self.is_leaving and self._state is not InstanceState.LEAVING
 
     @property
     def held_until(self) -> float:
-        """Monotonic second until which callers may hold this instance's address."""
+        """Monotonic time in seconds until which callers may hold this instance's address."""
         return self._held_until
 
     def started(self, now: float) -> None:
-        """Note that all listeners are bound; a signal that came before keeps its effect."""
+        """Record that all listeners are bound; an earlier signal remains in effect."""
         if self._state is InstanceState.STARTING:
             self._enter(InstanceState.SERVING, now)
 
     def asked(
         self, now: float, *, held: float, peers: tuple[str, ...], longest_ttl: float
     ) -> list[ShutdownAction]:
-        """Take in a signal; the second one ends all waiting.
+        """Process a shutdown signal; the second one ends all waiting.
 
         Args:
-            now: Monotonic second.
-            held: Seconds for which callers may hold the address from routes given here.
+            now: Current monotonic time in seconds.
+            held: Seconds for which callers may hold the address from route answers given here.
             peers: Instances that may name this one in their route answers.
-            longest_ttl: Longest time to live of a route answer in force.
+            longest_ttl: Longest time to live of any route answer in force.
         """
         if self.is_leaving:
             return self._give_up(ExitReason.SECOND_SIGNAL, now)
@@ -211,26 +211,27 @@
         return [RefuseTokens(), *self.peers_listed(peers)]
 
     def peers_listed(self, peers: tuple[str, ...]) -> list[ShutdownAction]:
-        """Tell peers that were not told yet; the lagging list may show new ones while leaving."""
+        """Tell newly listed peers; the list lags behind and may show new ones while leaving."""
         if self._state is not InstanceState.LEAVING:
             return []
-        new = [peer for peer in peers if peer not in self._known_peers]
-        self._known_peers.update(new)
+        new = [peer for peer in peers if peer not in self._seen_peers]
+        self._seen_peers.update(new)
         self._untold.update(new)
         return [TellPeer(peer) for peer in new]
 
     def peer_told(self, peer_id: str, held: float, now: float) -> None:
-        """Take in that a peer names this instance no more, and how long its callers hold it."""
+        """Record that a peer no longer names this instance, and how long its callers hold it."""
         self._untold.discard(peer_id)
         if held > 0:
             self._held_until = max(self._held_until, now + held + TRANSIT_SECONDS)
 
     def peer_not_told(self, peer_id: str, now: float) -> list[ShutdownAction]:
-        """Take in that a peer could not be told; it is told again for a while.
+        """Process a failed attempt to tell a peer; it is retried for a limited time.
 
-        A peer that can't be reached may go on naming this instance until the platform's list shows
-        it as leaving. Waiting for that without end would let one dead peer hold every shutdown, so
-        it counts as if it had named this instance until `UNTOLD_SECONDS` after the signal.
+        An unreachable peer may continue to name this instance until the platform's list shows the
+        instance as leaving. Waiting for such a peer indefinitely would let one dead peer block
+        every shutdown, so it is assumed to have named this instance until `UNTOLD_SECONDS` after
+        the signal.
         """
         if self._state is not InstanceState.LEAVING or peer_id not in self._untold:
             return []
@@ -242,7 +243,7 @@
         return []
 
     def tick(self, work: OpenWork, now: float) -> list[ShutdownAction]:
-        """Act on the passage of time."""
+        """Advance the shutdown by the current time and open work."""
         if self._state is InstanceState.LEAVING and not self._untold and now >= self._held_until:
             self._enter(InstanceState.CLOSING, now)
         if self._state is InstanceState.CLOSING and self._is_drained(work, now):
@@ -250,23 +251,24 @@
             return [Exit(ExitReason.DRAINED)]
         if self._state in (InstanceState.LEAVING, InstanceState.CLOSING) and now >= self._abort_at:
             return self._give_up(ExitReason.BOUND, now)
-        if self._state is InstanceState.GIVEN_UP and self._gave_up_long_enough(work, now):
+        if self._state is InstanceState.GIVEN_UP and self._is_given_up_over(work, now):
             self._enter(InstanceState.EXITED, now)
             return [Exit(self._reason)]
         return []
 
     def _is_drained(self, work: OpenWork, now: float) -> bool:
-        """Return whether closing now cuts nothing off.
+        """Return whether closing now interrupts no request.
 
-        A request may arrive on a kept connection in the very moment in which the server closes it
-        as idle; the caller would see a reset and not know whether it ran. So idle connections are
-        only closed after a quiet time, in which no caller that honours its route can have sent.
+        A request may arrive on a keep-alive connection just as the server closes it as idle; the
+        caller would see a reset and not know whether the request ran. Idle connections are
+        therefore closed only after a quiet period, in which no caller that honours the lifetime of
+        its route can have sent a request.
         """
         return (
             not work.requests and now >= max(self._state_since, work.last_arrival) + QUIET_SECONDS
         )
 
-    def _gave_up_long_enough(self, work: OpenWork, now: float) -> bool:
+    def _is_given_up_over(self, work: OpenWork, now: float) -> bool:
         return not work.requests or now >= self._state_since + ABORT_RESERVE_SECONDS
 
     def _give_up(self, reason: ExitReason, now: float) -> list[ShutdownAction]:
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/slots.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/slots.py
@@ -1,4 +1,4 @@
-"""Slots of searchers for bookings, which come before searches."""
+"""Grants searcher slots to bookings, which take precedence over searches."""
 
 from collections.abc import Callable
 
@@ -12,12 +12,12 @@
 
 
 class SlotGranter:
-    """Gives bookings their slots and takes them back.
+    """Grants slots to bookings and releases them.
 
     Args:
         replicas: The group's searchers.
-        waits: How long a refused caller should stay away.
-        outbox: Where actions go.
+        waits: Estimates when a refused caller should retry.
+        outbox: Collects the actions.
         calls: The open calls.
         ask_inventory: Starts an inventory call to a searcher.
     """
@@ -54,17 +54,17 @@
         return not (self._waiting or self._granted)
 
     def deadlines(self) -> list[float]:
-        """Return the monotonic seconds at which waiting bookings must be answered."""
+        """Return the monotonic times in seconds at which waiting bookings must be answered."""
         return [request.deadline for request in self._waiting.values()]
 
     def wanted(self, request: SlotRequest) -> None:
-        """Take in a booking's wish."""
+        """Add a booking's slot request to the waiting ones."""
         self._waiting[request.id] = request
 
     def released(
         self, request_id: str, failure: Failure | None, retry_after: float | None, now: float
     ) -> None:
-        """Take in that a booking no longer uses its slot, and how its dispatch ended."""
+        """Release a booking's slot and record the outcome of its dispatch."""
         self._waiting.pop(request_id, None)
         searcher = self._granted.pop(request_id, None)
         if searcher is None:
@@ -74,7 +74,7 @@
             searcher.failed(failure, retry_after, now)
 
     def serve(self, now: float) -> None:
-        """Grant free slots, and deny at once what can't be granted in time."""
+        """Grant free slots, and deny the requests that can't be granted in time."""
         for request in tuple(self._waiting.values()):
             if self._serve(request, now):
                 del self._waiting[request.id]
@@ -87,18 +87,18 @@
         elif free:
             self._grant(request, free, now)
         elif not holders:
-            message = f"No searcher of shard {request.shard} can be used."
+            message = f"No usable searcher holds shard {request.shard}."
             self._deny(request, Unavailable(message, retry_after=self._waits.retry_after(now)))
         else:
             return False
         return True
 
     def _free(self, holders: list[SearcherState], now: float) -> list[SearcherState]:
-        """Return the free holders that were heard of lately; where there is none, ask the others.
+        """Return the free holders with a fresh inventory; if there are none, query the others.
 
-        After a quiet hour, a searcher that left long ago would get new work, and a connection that
-        went silent would leave the booking's outcome unknown. The inventory call tells both before
-        the booking is sent.
+        Without this, after an hour without traffic, a searcher that left long ago would get new
+        work, and a dead connection would leave the booking's outcome unknown. The inventory call
+        detects both before the booking is sent.
         """
         fresh = self._replicas.fresh(holders, now)
         free = [s for s in fresh if s.has_free_slot]
@@ -111,8 +111,8 @@
     def _holders(self, request: SlotRequest) -> list[SearcherState]:
         """Return the searchers that may run a booking.
 
-        A booking was taken in under one version of the configuration, and its outcome is looked
-        for at the searchers of that version. One that a newer version brought is left out.
+        A booking is accepted under one version of the configuration, and its outcome is looked up
+        at the searchers of that version. Searchers added by a newer version are excluded.
         """
         holders = self._replicas.holders(request.shard)
         if not request.holders:
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/stalls.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/stalls.py
@@ -1,16 +1,16 @@
-"""Whether the process has just stood still, and since when."""
+"""Detects that the process has just been stalled, and since when."""
 
-# The process looks around every 0.25 s; later than this, something kept it from running.
+# The check runs every 0.25 s; a longer gap than this means that the process could not run.
 _STALL_SECONDS = 0.35
-# What came during a stall is taken in this soon after it.
-_SETTLE_SECONDS = 0.25
+# Time after a stall within which everything that arrived during it is processed.
+_CATCH_UP_SECONDS = 0.25
 
 
 class StallWatch:
-    """Tells since when a signal may have waited for a process that was frozen or starved.
+    """Estimates how long a signal may have waited for a frozen or CPU-starved process.
 
     Args:
-        now: Second of a clock that goes on while the machine is suspended.
+        now: Time in seconds of a clock that also advances while the machine is suspended.
     """
 
     __slots__ = ("_ran_at", "_resumed_at", "_stalled_from")
@@ -21,13 +21,13 @@
         self._resumed_at = now
 
     def ran(self, now: float) -> None:
-        """Note that the process runs; called several times a second."""
+        """Record that the process runs; called several times a second."""
         if now - self._ran_at > _STALL_SECONDS:
             self._stalled_from = self._ran_at
             self._resumed_at = now
         self._ran_at = now
 
     def came_from(self, now: float) -> float:
-        """Return the earliest second at which a signal that is taken in now may have come."""
+        """Return the earliest time at which a signal that is processed now may have arrived."""
         self.ran(now)
-        return self._stalled_from if now - self._resumed_at <= _SETTLE_SECONDS else now
+        return self._stalled_from if now - self._resumed_at <= _CATCH_UP_SECONDS else now
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/suspects.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/suspects.py
@@ -1,4 +1,4 @@
-"""Queries that may end the searchers that run them, as the owner of a group sees them."""
+"""Queries suspected of crashing the searchers that run them, tracked by a group's owner."""
 
 from collections.abc import Iterable
 
@@ -12,7 +12,7 @@
 
 
 class SuspectQueries:
-    """Lets a query that is suspected of ending searchers make one call at a time, or none.
+    """Limits queries suspected of crashing searchers to one call at a time, or to none.
 
     Args:
         calls: The open calls.
@@ -25,11 +25,11 @@
         self._ledger = CrashLedger()
 
     def standing(self, key: str) -> Standing:
-        """Return how far a query is trusted."""
+        """Return the current standing of a query."""
         return self._ledger.evidence(key).standing
 
     def is_trusted(self, key: str) -> bool:
-        """Return whether a query's calls are made as usual."""
+        """Return whether a query's calls are unrestricted."""
         return self.standing(key) is Standing.TRUSTED
 
     def may_call(self, key: str) -> bool:
@@ -39,20 +39,20 @@
         return self.is_trusted(key)
 
     def seconds_left(self, key: str, now: float) -> float:
-        """Return for how long a query is still quarantined; 0 where it isn't."""
+        """Return the seconds for which a query is still quarantined; 0 if it is not."""
         self._ledger.expire(now)
         return self._ledger.seconds_left(key, now)
 
     def lost(self, call: OpenCall, now: float) -> None:
-        """Take in that a searcher's connection ended under a call before any byte of a reply."""
-        # A searcher keeps its id over its restarts, so ends are counted by call.
-        end = frozenset((f"{call.searcher.spec.id}/{call.id}",))
+        """Record that the connection ended during a call before any byte of a reply."""
+        # A searcher keeps its id across restarts, so crashes are counted by call.
+        crash = frozenset((f"{call.searcher.spec.id}/{call.id}",))
         for key in call.work:
-            on_trial = end if self._was_trial(call, key) else frozenset()
-            self._ledger.add(CrashReport(key, CrashEvidence(end, on_trial)), now)
+            on_trial = crash if self._was_trial(call, key) else frozenset()
+            self._ledger.add(CrashReport(key, CrashEvidence(crash, on_trial)), now)
 
     def survived(self, keys: Iterable[str], now: float) -> None:
-        """Take in that a searcher replied to a call for some queries."""
+        """Record that a searcher replied to a call for these queries."""
         for key in keys:
             self._ledger.release(key, now)
 
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/timings.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/timings.py
@@ -1,18 +1,18 @@
-"""How long calls usually take, learnt from the calls themselves."""
+"""Estimates of usual call times, learned from the calls themselves."""
 
-# Step of the estimate as a share of itself. A hundred calls move it by a factor of about two.
+# Relative step of the estimate. A hundred calls change it by a factor of about two.
 _STEP = 0.05
 
 
 class RunningQuantile:
     """Estimates one quantile of a stream in constant space.
 
-    Each value above the estimate raises it by a step, each one below lowers it by a smaller step;
-    the two balance where the share of values below is the wanted one.
+    Each value above the estimate raises it in proportion to the quantile, and every other value
+    lowers it in proportion to the remainder; they balance at the wanted quantile.
 
     Args:
         share: The quantile, 0 to 1.
-        start: First estimate, in the unit of the values.
+        start: Initial estimate, in the unit of the values.
     """
 
     __slots__ = ("_share", "value")
@@ -22,7 +22,7 @@
         self.value = start
 
     def add(self, value: float) -> None:
-        """Take in one value."""
+        """Add one value."""
         if value > self.value:
             self.value += self.value * _STEP * self._share
         else:
@@ -30,11 +30,11 @@
 
 
 class RunningMean:
-    """Averages the last values of a stream in constant space.
+    """Averages the recent values of a stream in constant space.
 
     Args:
-        averaged: Values over which it averages; the first ones count at once.
-        start: What it is before the first value.
+        averaged: Number of values to average over. Until there are as many, it is the plain mean.
+        start: The value before the first one is added.
     """
 
     __slots__ = ("_averaged", "_values", "value")
@@ -45,170 +45,170 @@
         self.value = start
 
     def add(self, value: float) -> None:
-        """Take in one value."""
+        """Add one value."""
         self._values = min(self._values + 1, self._averaged)
         self.value += (value - self.value) / self._values
 
 
 class CallerPatience:
-    """Learns how long a route's callers wait in all, and so how long one has waited already.
+    """Learns the total timeout of a route's callers, and so how long a caller has already waited.
 
-    A caller states what is left of its time, not what it began with. Most requests come on open
-    connections at the first try and state nearly all of it; so the greatest value of late is what
-    callers begin with, and the difference to it has passed on connects and earlier tries. The
-    objective counts from the caller's start: without this, an answer to a request that needed a
-    connect came some 8 ms after the objective.
+    A caller states its remaining time, not its initial timeout. Most requests arrive on open
+    connections at the first attempt and state nearly all of it, so the recent maximum is the
+    initial timeout, and the difference to it was spent on connecting and earlier attempts. The
+    objective counts from the caller's start: without this estimate, the answer to a request that
+    needed a new connection came about 8 ms after the objective.
     """
 
-    __slots__ = ("_greatest", "_next_greatest", "_on_open", "_requests")
+    __slots__ = ("_maximum", "_next_maximum", "_on_open_connections", "_requests")
 
-    # Requests after which a greatest value that was not seen again is forgotten, as when callers
-    # were given less time.
-    _MEMORY = 64
-    # Requests on open connections after which the greatest value is what callers begin with: one
-    # in five of them comes without a look-up of the instances before it.
-    _ENOUGH = 16
-    # What a look-up and a connect take at most, in round trips: three and a half on an idle
-    # instance, and as much again where both ends are slow to take them up.
-    _MOST_ROUND_TRIPS = 8
+    # Requests after which a maximum that was not seen again is dropped, in case the callers'
+    # timeout was reduced.
+    _MAX_AGE_REQUESTS = 64
+    # Requests on open connections after which the maximum is taken as the initial timeout: one in
+    # five of them is not preceded by a look-up of the instances.
+    _MIN_ON_OPEN_CONNECTIONS = 16
+    # Maximum duration of a look-up and a connect, in round trips: three and a half on an idle
+    # instance, and as much again if both ends are slow to respond.
+    _MAX_ROUND_TRIPS = 8
 
     def __init__(self) -> None:
-        self._greatest = 0.0
-        self._next_greatest = 0.0
-        self._on_open = 0
+        self._maximum = 0.0
+        self._next_maximum = 0.0
+        self._on_open_connections = 0
         self._requests = 0
 
     def spent(
         self, left: float | None, at_least: float, timeout: float, round_trip: float
     ) -> float:
-        """Take in the seconds that a caller has left; return those that have passed for it.
+        """Record a caller's remaining time; return the time that has already passed for it.
 
-        An instance that sees a request in ten seconds would take minutes to learn what callers
-        begin with, and its answers would be late by a look-up and a connect, 10 to 15 ms. The
-        route's timeout is how long the operator lets callers wait. Where a caller states a little
-        less, by no more than it takes to come here, it began with that.
+        An instance that gets one request in ten seconds would take minutes to learn the callers'
+        initial timeout, and its answers would be late by a look-up and a connect, 10 to 15 ms. The
+        route's timeout is the time that the operator configured for callers. If a caller states
+        slightly less, by no more than a look-up and a connect take, that was its initial timeout.
 
         Args:
-            left: What the caller states; None where it states nothing.
-            at_least: What has passed for certain, as the round trip of a connect. The first
-                requests after a start all come on new connections, so the greatest value is too
-                low by that much.
-            timeout: The route's timeout.
-            round_trip: Seconds from here to the caller and back.
+            left: Remaining seconds stated by the caller; None if it states nothing.
+            at_least: Seconds known to have passed, such as the round trip of a connect. The first
+                requests after a start all come on new connections, so the maximum is too low by
+                that much.
+            timeout: The route's timeout in seconds.
+            round_trip: Round-trip time to the caller in seconds.
         """
         if left is None:
             return at_least
         if at_least == 0:
-            self._on_open += 1
-        began_with = left + at_least
+            self._on_open_connections += 1
+        initial = left + at_least
         self._requests += 1
-        self._next_greatest = max(self._next_greatest, began_with)
-        if self._requests >= self._MEMORY:
-            self._greatest, self._next_greatest = self._next_greatest, 0.0
+        self._next_maximum = max(self._next_maximum, initial)
+        if self._requests >= self._MAX_AGE_REQUESTS:
+            self._maximum, self._next_maximum = self._next_maximum, 0.0
             self._requests = 0
-        self._greatest = max(self._greatest, began_with)
-        since_timeout = timeout - left
+        self._maximum = max(self._maximum, initial)
+        elapsed = timeout - left
         if (
-            self._on_open < self._ENOUGH
-            and began_with <= timeout
-            and since_timeout <= self._MOST_ROUND_TRIPS * round_trip
+            self._on_open_connections < self._MIN_ON_OPEN_CONNECTIONS
+            and initial <= timeout
+            and elapsed <= self._MAX_ROUND_TRIPS * round_trip
         ):
-            return since_timeout
-        return self._greatest - left
+            return elapsed
+        return self._maximum - left
 
 
 class OwnDelay:
-    """Learns how late this instance does what is due, and how long an answer takes it.
+    """Learns this instance's timer delay and the time that it needs to prepare an answer.
 
-    An answer leaves that much after its time, and must be made ready that much earlier. On an
-    instance with little processor, answers would otherwise all come just after their objective.
+    An answer is sent that much after it is due, so its preparation must start that much earlier. On
+    an instance with little CPU, all answers would otherwise come just after their objective.
     """
 
     __slots__ = ("_late", "_work")
 
-    # Merging and writing an answer of twenty parts takes 2 ms on half of a core. Where it takes
-    # less, as much is left for what the system takes to send it.
-    _LEAST_WORK_SECONDS = 0.002
-    # Answers over which the time that one takes is averaged. An instance that gets a search in ten
-    # seconds knows its pace after the first few.
-    _AVERAGED = 8
-    # Nineteen of twenty answers shall leave in time.
+    # Merging and writing an answer of twenty parts takes 2 ms on half a core. If it takes less, the
+    # rest is reserved for the operating system to send it.
+    _MIN_WORK_SECONDS = 0.002
+    # Answers over which the preparation time is averaged. It is few, so that an instance that gets
+    # one search in ten seconds has an estimate after the first few.
+    _AVERAGE_LENGTH = 8
+    # 95 % of the answers should be sent in time.
     _QUANTILE = 0.95
-    _FIRST_SECONDS = 0.004
+    _INITIAL_DELAY_SECONDS = 0.004
 
     def __init__(self) -> None:
-        self._late = RunningQuantile(self._QUANTILE, self._FIRST_SECONDS)
-        self._work = RunningMean(self._AVERAGED, self._LEAST_WORK_SECONDS)
+        self._late = RunningQuantile(self._QUANTILE, self._INITIAL_DELAY_SECONDS)
+        self._work = RunningMean(self._AVERAGE_LENGTH, self._MIN_WORK_SECONDS)
 
     @property
     def allowance(self) -> float:
-        """Return how many seconds before its time an answer is made ready."""
+        """Return the seconds before an answer is due at which its preparation must start."""
         return self._work_seconds + self._late.value
 
     @property
     def _work_seconds(self) -> float:
-        return max(self._work.value, self._LEAST_WORK_SECONDS)
+        return max(self._work.value, self._MIN_WORK_SECONDS)
 
     def add(self, seconds: float) -> None:
-        """Take in how late a timer was."""
+        """Record how many seconds late a timer fired."""
         self._late.add(seconds)
 
     def worked(self, seconds: float) -> None:
-        """Take in how long it took to make an answer ready and to send it.
+        """Record the seconds that it took to prepare and send an answer.
 
-        Times far above the usual ones, as when the process was frozen, count as four times it.
+        Each value is capped at four times the usual one, in case the process was frozen.
         """
         self._work.add(min(seconds, 4 * self._work_seconds))
 
 
 class OwnPace:
-    """Learns how many calls to searchers this instance itself makes in a given time.
+    """Learns how many calls to searchers this instance can make in a given time.
 
-    A call costs its instance the same work everywhere, but not the same time: 0.02 ms on two cores
-    and 0.5 ms on 0.12 of one, where 87 calls of a search take 45 of its 120 ms.
+    The work per call is the same on every instance, but its duration is not: 0.02 ms on two cores,
+    and 0.5 ms on 0.12 of a core, where the 87 calls of a search take 45 of its 120 ms.
     """
 
-    __slots__ = ("_start",)
+    __slots__ = ("_start_seconds",)
 
-    # Sending a call, and reading and judging its reply, against choosing its searcher and keeping
-    # account of it: 0.5 and 0.15 ms on 0.12 of a core.
-    _CALL_OVER_START = 3.5
-    # Searches over which the time that a shard takes at the start is averaged.
-    _AVERAGED = 8
+    # Ratio of the time for sending a call and reading and evaluating its reply to the time for
+    # choosing its searcher and the bookkeeping: 0.5 and 0.15 ms on 0.12 of a core.
+    _CALL_TO_START_RATIO = 3.5
+    # Searches over which the start time per shard is averaged.
+    _AVERAGE_LENGTH = 8
 
     def __init__(self) -> None:
-        self._start = RunningMean(self._AVERAGED)
+        self._start_seconds = RunningMean(self._AVERAGE_LENGTH)
 
     def started(self, shards: int, seconds: float) -> None:
-        """Take in how long it took to start a search over some shards.
+        """Record how long it took to start a search.
 
         Args:
-            shards: How many.
-            seconds: The time, without calls that were made at once.
+            shards: Number of shards of the search.
+            seconds: The time, without calls that were made immediately.
         """
-        self._start.add(seconds / shards)
+        self._start_seconds.add(seconds / shards)
 
     def calls_within(self, seconds: float) -> float:
-        """Return how many calls it makes in some seconds; infinite before the first search."""
-        call_seconds = self._CALL_OVER_START * self._start.value
+        """Return the number of calls that fit into a time; infinite before the first search."""
+        call_seconds = self._CALL_TO_START_RATIO * self._start_seconds.value
         return seconds / call_seconds if call_seconds > 0 else float("inf")
 
 
 class RouteTimings:
-    """Times of one route's calls to searchers.
+    """Call times of one route's calls to searchers.
 
     Args:
-        objective: The route's objective in seconds, from which the first estimates come.
+        objective: The route's objective in seconds, from which the initial estimates are derived.
     """
 
     __slots__ = ("_late", "_objective", "_usual", "patience")
 
-    # First estimates as shares of the objective, from the users' sheets: mean work is 0.1 to 0.25
-    # of the objective.
-    _USUAL_START = 0.15
-    _LATE_START = 0.3
-    # A hedge before this share of the objective meets calls that are merely a little slow, and
-    # one after the latest share comes too late to be answered within the objective.
+    # Initial estimates as fractions of the objective. According to the users' data sheets, the mean
+    # work is 0.1 to 0.25 of the objective.
+    _INITIAL_MEDIAN = 0.15
+    _INITIAL_LATE = 0.3
+    # Limits of the hedge delay as fractions of the objective. Earlier hedges would repeat calls
+    # that are only slightly slow, and later ones could not be answered within the objective.
     _EARLIEST_HEDGE = 0.18
     _LATEST_HEDGE = 0.45
     _LATE_QUANTILE = 0.97
@@ -216,8 +216,8 @@
     def __init__(self, objective: float) -> None:
         self._objective = objective
         self.patience = CallerPatience()
-        self._usual = RunningQuantile(0.5, objective * self._USUAL_START)
-        self._late = RunningQuantile(self._LATE_QUANTILE, objective * self._LATE_START)
+        self._usual = RunningQuantile(0.5, objective * self._INITIAL_MEDIAN)
+        self._late = RunningQuantile(self._LATE_QUANTILE, objective * self._INITIAL_LATE)
 
     @property
     def usual(self) -> float:
@@ -226,25 +226,25 @@
 
     @property
     def hedge_delay(self) -> float:
-        """Return after how many seconds a call counts as late enough for a second one."""
+        """Return the seconds after which a call is slow enough to be hedged."""
         earliest = self._EARLIEST_HEDGE * self._objective
         latest = self._LATEST_HEDGE * self._objective
         return min(max(self._late.value, earliest), latest)
 
     def patience_for(self, elsewhere: float) -> float:
-        """Return how many seconds after its arrival a request's answer should leave.
+        """Return the seconds after its arrival at which a request's answer should be sent.
 
         Args:
-            elsewhere: Seconds that the caller's way here, and the answer's way back, take off the
-                objective. Where not even a usual call fits into what is left, the answer is late
-                anyway, and waits for more parts instead.
+            elsewhere: Seconds of the objective that the request's and the answer's transport take.
+                If not even a usual call fits into the rest, the answer is late anyway, and waits
+                for more parts instead.
         """
         if self.fits(elsewhere):
             return self._objective - elsewhere
         return self._objective / 2
 
     def fits(self, elsewhere: float) -> bool:
-        """Return whether a usual call fits into what is left of the objective.
+        """Return whether a usual call fits into the rest of the objective.
 
         Args:
             elsewhere: As for `patience_for`.
@@ -252,6 +252,6 @@
         return self._objective - elsewhere > self.usual
 
     def add(self, seconds: float) -> None:
-        """Take in the time of a call that was answered."""
+        """Record the seconds that an answered call took."""
         self._usual.add(seconds)
         self._late.add(seconds)
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/waits.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/waits.py
@@ -1,18 +1,18 @@
-"""How long a search is expected to wait, and how long a refused caller should stay away."""
+"""Estimates how long a search will wait and when a refused caller should retry."""
 
 from limpethollow_policy.process.admissions import AdmissionLimits, AdmissionQueue, make_queue
 from limpethollow_policy.process.replicas import ReplicaSet
 from limpethollow_wire.services import ServiceSpec
 
-_SMALLEST_RETRY_AFTER = 0.05
+_MIN_RETRY_AFTER = 0.05
 
 
 class WaitEstimate:
-    """Estimates waits from what the queue says and when paused searchers come back.
+    """Estimates waiting times from the queue and the ends of the searchers' pauses.
 
     Args:
         replicas: The group's searchers.
-        queue: The searches that wait.
+        queue: The queue of waiting searches.
     """
 
     __slots__ = ("_replicas", "queue")
@@ -22,14 +22,14 @@
         self.queue = queue
 
     def estimate(self, firm: str, now: float) -> float:
-        """Return the seconds that a search of a firm arriving now is expected to wait."""
+        """Return the expected wait in seconds of a firm's search that arrives now."""
         return self.queue.wait(firm, now)
 
     def retry_after(self, now: float, firm: str = "") -> float:
-        """Return the seconds after which another try makes sense."""
+        """Return the seconds after which a caller should retry."""
         paused = [s.down_until - now for s in self._replicas if s.down_until > now]
         back = min(paused, default=0.0)
-        return max(self.estimate(firm, now), back, _SMALLEST_RETRY_AFTER)
+        return max(self.estimate(firm, now), back, _MIN_RETRY_AFTER)
 
 
 def queue_for(spec: ServiceSpec) -> AdmissionQueue:
