--- a/benchmarks/ablation/mechanisms.py
+++ b/benchmarks/ablation/mechanisms.py
@@ -75,17 +75,21 @@
 _mechanism(
     "withholding",
     "second sends also where most shards are late",
-    _searches("_MOST_HEDGED = 0.5", "_MOST_HEDGED = 1.0"),
+    _searches("_MAX_HEDGED_FRACTION = 0.5", "_MAX_HEDGED_FRACTION = 1.0"),
 )
 _mechanism(
     "second-look",
     "withheld second sends are not made later",
-    _searches("_LOOK_AGAIN_SHARE = 0.25", "_LOOK_AGAIN_SHARE = 1000.0"),
+    _searches("_RECHECK_FRACTION = 0.25", "_RECHECK_FRACTION = 1000.0"),
 )
 _mechanism(
     "hedge-reserve",
     "second sends may use up the budget for repeats of failed ones",
-    Edit(_ENGINE + "request/tries.py", "_HEDGE_RESERVE = 0.25", "_HEDGE_RESERVE = 0.0"),
+    Edit(
+        _ENGINE + "request/tries.py",
+        "_HEDGE_RESERVE_FRACTION = 0.25",
+        "_HEDGE_RESERVE_FRACTION = 0.0",
+    ),
 )
 _mechanism(
     "cut-losers",
@@ -110,7 +114,7 @@
     "floor-first",
     "searches start although their floor is out of reach",
     _searches(
-        "        if len(shards) - chosen.count(None) < self._least_parts:\n",
+        "        if len(shards) - chosen.count(None) < self._min_parts:\n",
         "        if chosen.count(None) == len(shards):\n",
     ),
 )
--- a/packages/limpethollow-node/src/limpethollow_node/engine/__init__.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/__init__.py
@@ -1,1 +1,1 @@
-"""The request path: one event loop a process, driven by the decisions of the policy package."""
+"""The request path: one event loop per process, driven by decisions of the policy package."""
--- a/packages/limpethollow-node/src/limpethollow_node/engine/connection/__init__.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/connection/__init__.py
@@ -1,1 +1,1 @@
-"""What lives as long as a connection."""
+"""Objects whose lifetime is that of a connection."""
--- a/packages/limpethollow-node/src/limpethollow_node/engine/connection/callers.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/connection/callers.py
@@ -1,4 +1,4 @@
-"""A caller's connection: reads whole requests and writes whole replies, one after the other."""
+"""HTTP server side: reads complete requests from callers and writes complete replies, in order."""
 
 import asyncio
 import socket
@@ -20,16 +20,16 @@
     TooLarge,
 )
 
-# Requests that a caller may send ahead on one connection before it is read no further.
-_MAX_AHEAD = 8
-# A caller that doesn't read its answers is cut off once this much waits for it.
-_MAX_UNREAD_BYTES = 4 * 1024 * 1024
+# Pipelined requests that may be queued on one connection before reading from it is paused.
+_MAX_PIPELINED = 8
+# A connection whose caller doesn't read its replies is aborted above this many unsent bytes.
+_MAX_UNSENT_BYTES = 4 * 1024 * 1024
 
 Handler = Callable[["Exchange"], None]
 
 
 class Exchange:
-    """One request of a caller, until it is answered or the caller is gone."""
+    """One request of a caller, until it is answered or the caller disconnects."""
 
     __slots__ = ("_connection", "arrived_at", "on_gone", "request")
 
@@ -41,12 +41,12 @@
 
     @property
     def round_trip(self) -> float | None:
-        """Return the seconds from here to the caller and back; None where they aren't known."""
+        """Return the round-trip time to the caller in seconds; None if it is unknown."""
         return self._connection.round_trip
 
     @property
     def caller_host(self) -> str | None:
-        """Return the caller's IP address; None where the connection is gone."""
+        """Return the caller's IP address; None if the connection was already closed."""
         return self._connection.peer_host
 
     @property
@@ -55,20 +55,20 @@
         return self._connection.requests == 1
 
     def respond(self, reply: Reply) -> None:
-        """Send the answer."""
+        """Send the reply."""
         self.on_gone = None
         self._connection.finish(self, reply)
 
 
 class CallerConnection(asyncio.Protocol):
-    """Parses requests and keeps a caller to its limits.
+    """Parses a caller's requests and enforces its size and time limits.
 
     Args:
-        server: What all connections of one listener share.
+        server: State shared by all connections of one listener.
     """
 
     __slots__ = (
-        "_ahead",
+        "_pipelined",
         "_body",
         "_body_bytes",
         "_current",
@@ -78,7 +78,7 @@
         "_in_head",
         "_loop",
         "_parser",
-        "_refusal",
+        "_pending_error",
         "_server",
         "_target",
         "_transport",
@@ -94,9 +94,9 @@
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpRequestParser(self)
-        self._ahead: deque[Request] = deque()
+        self._pipelined: deque[Request] = deque()
         self._current: Exchange | None = None
-        self._refusal: LimpethollowError | None = None
+        self._pending_error: LimpethollowError | None = None
         self._failed = False
         self._in_head = False
         self._head_bytes = 0
@@ -113,43 +113,43 @@
     @property
     def busy(self) -> bool:
         """Return whether a request is being read or answered."""
-        return self._current is not None or self.message_since is not None or bool(self._ahead)
+        return self._current is not None or self.message_since is not None or bool(self._pipelined)
 
     @property
     def has_unsent(self) -> bool:
-        """Return whether a part of an answer still waits for the caller to read."""
+        """Return whether reply bytes are still buffered because the caller hasn't read them."""
         return self._transport.get_write_buffer_size() > 0
 
     def finish(self, exchange: Exchange, reply: Reply) -> None:
-        """Write the answer to the current request and take up the next one."""
+        """Write the reply to the current request and start to handle the next one."""
         if exchange is not self._current:
             return
         self._current = None
-        last = not exchange.request.keep_alive or self._server.leaving and not self._ahead
+        last = not exchange.request.keep_alive or self._server.leaving and not self._pipelined
         self._write(reply, close=last, head=exchange.request.method == b"HEAD")
         self.idle_since = self._loop.time()
         if not last:
-            self._next()
+            self._handle_next()
 
     def close_idle(self) -> None:
-        """Close a connection on which nothing is under way."""
+        """Close the connection unless a request is being read or answered."""
         if not self.busy:
             self._transport.close()
 
     def check_time(self, now: float) -> None:
-        """Enforce the time limits; called about once a second."""
+        """Enforce the time limits; called about once per second."""
         limits = self._server.limits
-        if self._transport.get_write_buffer_size() > _MAX_UNREAD_BYTES:
+        if self._transport.get_write_buffer_size() > _MAX_UNSENT_BYTES:
             self._transport.abort()
         elif self.message_since is not None and now > self.message_since + limits.header_timeout:
-            self._refuse(SlowSender("The request took too long to arrive."))
+            self._reject(SlowSender("The request was not received within the time limit."))
         elif not self.busy and now > self.idle_since + limits.idle_timeout:
             self._transport.close()
 
     # Called by the event loop.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport and read the caller's address and round-trip time."""
         self._transport = transport
         sock = transport.get_extra_info("socket")
         set_probes(sock)
@@ -158,37 +158,37 @@
         self._server.connections.add(self)
 
     def data_received(self, data: bytes) -> None:
-        """Read a piece of a request."""
+        """Parse received bytes."""
         if self._failed:
             return
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._refuse(BadRequest("Upgrades are not offered."))
+            self._reject(BadRequest("Protocol upgrades are not supported."))
         except httptools.HttpParserError as error:
             if not self._failed:
-                self._refuse(BadRequest(f"The bytes are no HTTP request ({error})."))
+                self._reject(BadRequest(f"The data is not a valid HTTP request ({error})."))
         if self._in_head:
             self._head_bytes += len(data)
         if self._in_head and self._head_bytes > self._server.limits.header_bytes:
-            self._refuse(HeadersTooLarge("The headers are too long."))
+            self._reject(HeadersTooLarge("The headers are too long."))
 
     def eof_received(self) -> bool:
-        """Treat a caller that stops sending as gone."""
+        """Close the connection when the caller closes its sending side."""
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Cancel what runs for a caller that is gone."""
+        """Cancel the current request of a caller that disconnected."""
         self._server.connections.discard(self)
         exchange, self._current = self._current, None
-        self._ahead.clear()
+        self._pipelined.clear()
         if exchange is not None and exchange.on_gone is not None:
             exchange.on_gone()
 
     # Called by the parser.
 
     def on_message_begin(self) -> None:
-        """Start a request."""
+        """Reset the state for a new request."""
         self._in_head = True
         self._head_bytes = 0
         self._target = b""
@@ -198,37 +198,37 @@
         self.message_since = self._loop.time()
 
     def on_url(self, url: bytes) -> None:
-        """Keep a piece of the request target."""
+        """Append a piece of the request target."""
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep a header."""
+        """Store a header."""
         self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Check the headers; ask for the body where the caller waits to be asked."""
+        """Check the header limits; answer `Expect` with `100 Continue`."""
         self._in_head = False
         size = sum(len(name) + len(value) + 4 for name, value in self._headers)
         if size + len(self._target) > self._server.limits.header_bytes:
-            self._refuse(HeadersTooLarge("The headers are too long."))
+            self._reject(HeadersTooLarge("The headers are too long."))
             return
         for name, value in self._headers:
             lower = name.lower()
             if lower == b"content-length" and int(value or 0) > self._server.limits.body_bytes:
-                self._refuse(TooLarge("The body is too long."))
-            elif lower == b"expect" and self._current is None and not self._ahead:
+                self._reject(TooLarge("The body is too large."))
+            elif lower == b"expect" and self._current is None and not self._pipelined:
                 self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, body: bytes) -> None:
-        """Keep a piece of the body."""
+        """Append a piece of the body."""
         self._body_bytes += len(body)
         if self._body_bytes > self._server.limits.body_bytes:
-            self._refuse(TooLarge("The body is too long."))
+            self._reject(TooLarge("The body is too large."))
         elif not self._failed:
             self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """Take up a whole request, or let it wait for the ones before it."""
+        """Handle a complete request, or queue it behind earlier ones."""
         self.message_since = None
         if self._failed:
             return
@@ -239,37 +239,37 @@
             b"".join(self._body),
             self._parser.should_keep_alive(),
         )
-        self._ahead.append(request)
-        if len(self._ahead) > _MAX_AHEAD:
+        self._pipelined.append(request)
+        if len(self._pipelined) > _MAX_PIPELINED:
             self._transport.pause_reading()
         if self._current is None:
-            self._next()
+            self._handle_next()
 
-    def _next(self) -> None:
-        if not self._ahead:
-            if self._refusal is not None:
-                self._send_refusal()
+    def _handle_next(self) -> None:
+        if not self._pipelined:
+            if self._pending_error is not None:
+                self._send_pending_error()
             return
-        request = self._ahead.popleft()
-        if len(self._ahead) <= _MAX_AHEAD and not self._transport.is_closing():
+        request = self._pipelined.popleft()
+        if len(self._pipelined) <= _MAX_PIPELINED and not self._transport.is_closing():
             self._transport.resume_reading()
         self.requests += 1
         self._current = Exchange(self, request, self._loop.time())
         self._server.handler(self._current)
 
-    def _refuse(self, error: LimpethollowError) -> None:
-        """Answer with an error, after the requests before it, and read nothing more."""
+    def _reject(self, error: LimpethollowError) -> None:
+        """Reply with an error once earlier requests are answered, and stop parsing."""
         if self._failed:
             return
         self._failed = True
         self.message_since = None
-        self._refusal = error
+        self._pending_error = error
         self._server.refused(error)
-        if self._current is None and not self._ahead:
-            self._send_refusal()
+        if self._current is None and not self._pipelined:
+            self._send_pending_error()
 
-    def _send_refusal(self) -> None:
-        error, self._refusal = self._refusal, None
+    def _send_pending_error(self) -> None:
+        error, self._pending_error = self._pending_error, None
         self._write(error_reply(error), close=True)
 
     def _write(self, reply: Reply, *, close: bool, head: bool = False) -> None:
@@ -289,16 +289,16 @@
 
 
 class CallerServer:
-    """A listener and the connections that came in on it.
+    """A listener and the connections accepted on it.
 
     Args:
         handler: Called with each request.
-        refused: Called with each error that was answered before a request was whole.
+        refused: Called with each error that is sent before a request was complete.
     """
 
     __slots__ = ("_listener", "connections", "handler", "leaving", "limits", "refused")
 
-    # How often connections are looked at for time limits; limits are seconds long.
+    # Interval at which time limits are checked; the limits themselves are several seconds long.
     SWEEP_SECONDS = 1.0
 
     def __init__(self, handler: Handler, refused: Callable[[LimpethollowError], None]) -> None:
@@ -311,39 +311,39 @@
 
     @property
     def has_unsent(self) -> bool:
-        """Return whether a part of an answer still waits for its caller to read."""
+        """Return whether reply bytes are still buffered on any connection."""
         return any(connection.has_unsent for connection in self.connections)
 
     @property
     def is_quiet(self) -> bool:
-        """Return whether nothing is read, answered or sent."""
+        """Return whether no connection is reading, answering or sending anything."""
         return not self.has_unsent and not any(c.busy for c in self.connections)
 
     async def serve(self, listener: socket.socket) -> None:
-        """Start to accept connections, first those that wait in the listener's queue."""
+        """Start to accept connections, including those in the listener's backlog."""
         loop = asyncio.get_running_loop()
         self._listener = await loop.create_server(
             lambda: CallerConnection(self), sock=listener, backlog=BACKLOG
         )
 
     def sweep(self, now: float) -> None:
-        """Enforce the callers' time limits."""
+        """Enforce the time limits on all connections."""
         for connection in tuple(self.connections):
             connection.check_time(now)
 
     def stop_listening(self) -> None:
-        """Accept no more connections; the open ones stay."""
+        """Stop accepting connections; open ones stay open."""
         if self._listener is not None:
             self._listener.close()
 
     def close_idle(self) -> None:
-        """Close all connections on which nothing is under way."""
+        """Close all idle connections."""
         for connection in tuple(self.connections):
             connection.close_idle()
 
 
 def error_reply(error: LimpethollowError, headers: Headers | None = None) -> Reply:
-    """Return the reply that tells a caller of an error."""
+    """Return the reply that reports an error to a caller."""
     found = [(b"Content-Type", b"application/json"), *(headers or [])]
     if error.retry_after is not None:
         found.append((b"Retry-After", b"%.3f" % error.retry_after))
--- a/packages/limpethollow-node/src/limpethollow_node/engine/connection/carried.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/connection/carried.py
@@ -1,37 +1,37 @@
-"""The requests that a connection has carried, whose replies might come a second time."""
+"""Ids of requests already answered on a connection, to which duplicate replies may arrive."""
 
 from collections import deque
 
-# A second reply to a success comes where that to one of the next requests is due; the connection is
-# closed then, unless the request has the same id.
-_SUCCESSES_REMEMBERED = 16
-# Only a request that got no success is sent again by itself, so none of these is forgotten.
-_MOST_FAILED = 64
+# A duplicate of a successful reply is read as the reply to one of the next requests. Its id then
+# differs and the connection is closed, unless that request has the same id.
+_MAX_SUCCEEDED = 16
+# Only requests without a successful reply are retried automatically, so none of these is evicted.
+_MAX_FAILED = 64
 
 
 class CarriedRequests:
-    """Ids of requests that must not use a connection again.
+    """Ids of requests that must not be sent on a connection again.
 
-    A searcher may reply a second time, late, and only the echoed id tells to which request. Where
-    the connection has carried a request before, that reply would pass for the one to its next send.
+    A searcher may send a late duplicate reply, and only the echoed id shows which request it is
+    for. If a request were retried on the same connection, the duplicate would pass for its reply.
     """
 
     __slots__ = ("_failed", "_succeeded")
 
     def __init__(self) -> None:
         self._failed: set[bytes] = set()
-        self._succeeded: deque[bytes] = deque(maxlen=_SUCCESSES_REMEMBERED)
+        self._succeeded: deque[bytes] = deque(maxlen=_MAX_SUCCEEDED)
 
     def __contains__(self, request_id: bytes) -> bool:
         return request_id in self._failed or request_id in self._succeeded
 
     @property
     def is_full(self) -> bool:
-        """Return whether the connection should be replaced rather than remember more."""
-        return len(self._failed) > _MOST_FAILED
+        """Return whether to replace the connection instead of storing more ids."""
+        return len(self._failed) > _MAX_FAILED
 
     def add(self, request_id: bytes, status: int) -> None:
-        """Note a request that was replied to.
+        """Add a request that got a reply.
 
         Args:
             request_id: Its id.
--- a/packages/limpethollow-node/src/limpethollow_node/engine/connection/clients.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/connection/clients.py
@@ -1,4 +1,4 @@
-"""One connection to a server, on which one request at a time is sent."""
+"""HTTP client connection without pipelining: one request at a time."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,36 +10,36 @@
 from limpethollow_node.engine.connection.sockets import set_probes
 from limpethollow_node.engine.messages import Headers, Reply
 
-# A reply larger than this is given up on, so that one server can't fill the instance's memory.
+# Larger replies are rejected, so that one server can't exhaust the instance's memory.
 MAX_REPLY_BYTES = 16 * 1024 * 1024
-_NO_BODY = frozenset({204, 304})
-_FRAMING = frozenset({b"content-length", b"transfer-encoding"})
-# Different values of a header that servers send with each reply.
-_KNOWN_TIMEOUTS = 64
+_STATUSES_WITHOUT_BODY = frozenset({204, 304})
+_FRAMING_HEADERS = frozenset({b"content-length", b"transfer-encoding"})
+# Number of distinct `Keep-Alive` values whose parsed timeout is cached.
+_TIMEOUT_CACHE_SIZE = 64
 
 OnReply = Callable[[Reply], None]
 OnBroken = Callable[[Exception], None]
 
 
 class BrokenConnection(ConnectionError):
-    """The connection ended, or what came was no reply, before a whole reply was read."""
+    """The connection closed, or invalid data arrived, before a complete reply was read."""
 
 
 class LostConnection(BrokenConnection):
-    """The connection ended before any byte of the reply to its request came."""
+    """The connection closed before the first byte of the reply arrived."""
 
 
 class ClientConnection(asyncio.Protocol):
-    """Sends a request, reads the whole reply, and tells whether the connection may be kept.
+    """Sends a request, reads the complete reply, and reports whether the connection is reusable.
 
     Args:
-        on_idle: Called with this connection when it can take another request.
+        on_idle: Called with this connection when it is ready for another request.
         on_closed: Called with this connection once it is closed.
 
     Attributes:
-        idle_since: Monotonic second since which no request is under way.
-        idle_timeout: Seconds after which the server closes it when idle; None where it didn't say.
-        carried: The requests that it has carried.
+        idle_since: Monotonic time in seconds since which no request is in flight.
+        idle_timeout: Idle seconds after which the server closes it; None if it didn't say.
+        carried: The requests already answered on it.
         was_used: Whether a request was ever sent on it.
     """
 
@@ -54,9 +54,9 @@
         "_on_idle",
         "_on_reply",
         "_parser",
-        "_reply_begun",
+        "_reply_started",
         "_transport",
-        "_until_close",
+        "_ends_with_connection",
         "carried",
         "idle_since",
         "idle_timeout",
@@ -78,9 +78,9 @@
         self._body: list[bytes] = []
         self._body_bytes = 0
         self._is_head = False
-        self._until_close = False
+        self._ends_with_connection = False
         self._broken = False
-        self._reply_begun = False
+        self._reply_started = False
         self.idle_since = 0.0
         self.idle_timeout: float | None = None
         self.carried = CarriedRequests()
@@ -88,7 +88,7 @@
 
     @property
     def usable(self) -> bool:
-        """Return whether a request can be sent now."""
+        """Return whether the connection is open, idle and reusable."""
         transport = self._transport
         return (
             self._on_reply is None
@@ -98,23 +98,23 @@
         )
 
     def send(self, data: bytes, on_reply: OnReply, on_broken: OnBroken, *, head: bool) -> None:
-        """Send a whole request.
+        """Send a complete request.
 
         Args:
             data: Request line, headers and body.
-            on_reply: Called with the whole reply.
-            on_broken: Called instead where no whole reply will come.
-            head: Whether the method is HEAD, whose replies have no body.
+            on_reply: Called with the complete reply.
+            on_broken: Called with the error if no complete reply arrives.
+            head: Whether the method is HEAD; replies to it have no body.
         """
         self._on_reply = on_reply
         self._on_broken = on_broken
         self._is_head = head
-        self._reply_begun = False
+        self._reply_started = False
         self.was_used = True
         self._transport.write(data)
 
     def close(self) -> None:
-        """Close the connection; a request on it gets no callback any more."""
+        """Close the connection without calling back for the current request."""
         self._on_reply = self._on_broken = None
         self._broken = True
         if self._transport is not None:
@@ -123,76 +123,76 @@
     # Called by the event loop.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport and set the probes that find a silent peer."""
+        """Store the transport and enable TCP keep-alive probes."""
         self._transport = transport
         set_probes(transport.get_extra_info("socket"))
 
     def data_received(self, data: bytes) -> None:
-        """Read a piece of a reply."""
+        """Parse received bytes."""
         if self._on_reply is None:
-            # Nothing is asked for: a second reply, or bytes after a whole one. What comes next on
-            # this connection can't be told from an answer, so it is not used again.
-            self._end(BrokenConnection("The server sent bytes that nobody asked for."))
+            # No request is in flight: this is a duplicate reply, or bytes after a complete one.
+            # Later data could be mistaken for a reply, so the connection is not reused.
+            self._fail(BrokenConnection("The server sent data without a request in flight."))
             return
-        self._reply_begun = True
+        self._reply_started = True
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
-            self._end(BrokenConnection(f"The server's bytes are no HTTP reply ({error})."))
+            self._fail(BrokenConnection(f"The server sent an invalid HTTP reply ({error})."))
 
     def eof_received(self) -> bool:
-        """End a reply without a length; its end is the end of the connection."""
-        if self._until_close and self._on_reply is not None:
+        """Complete a reply that is delimited by the end of the connection."""
+        if self._ends_with_connection and self._on_reply is not None:
             self._broken = True
             self._deliver()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell the request under way, if any, that its reply won't come."""
-        if self._reply_begun:
-            self._end(BrokenConnection(f"The connection ended within a reply ({exc})."))
+        """Fail the request in flight, if any."""
+        if self._reply_started:
+            self._fail(BrokenConnection(f"The connection closed in the middle of a reply ({exc})."))
         else:
-            self._end(LostConnection(f"The connection ended without a reply ({exc})."))
+            self._fail(LostConnection(f"The connection closed before a reply ({exc})."))
         self._on_closed(self)
 
     # Called by the parser.
 
     def on_message_begin(self) -> None:
-        """Start a reply; a second one in the same bytes condemns the connection."""
+        """Reset the state for a reply; an unexpected second one makes the connection unusable."""
         if self._on_reply is None:
             self._broken = True
             return
         self._headers = []
         self._body = []
         self._body_bytes = 0
-        self._until_close = False
+        self._ends_with_connection = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep a header."""
+        """Store a header."""
         self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Find out where the reply will end."""
+        """Determine how the reply's body is delimited."""
         status = self._parser.get_status_code()
         if status < 200 or self._on_reply is None:
             return
         if self._is_head:
-            # The parser waits for a body that never comes, so this connection ends here.
+            # The parser would wait for a body that is never sent, so the connection is not reused.
             self._broken = True
             self._deliver()
             return
-        framed = any(name.lower() in _FRAMING for name, _ in self._headers)
-        self._until_close = not framed and status not in _NO_BODY
+        framed = any(name.lower() in _FRAMING_HEADERS for name, _ in self._headers)
+        self._ends_with_connection = not framed and status not in _STATUSES_WITHOUT_BODY
 
     def on_body(self, body: bytes) -> None:
-        """Keep a piece of the body."""
+        """Append a piece of the body."""
         self._body.append(body)
         self._body_bytes += len(body)
         if self._body_bytes > MAX_REPLY_BYTES:
-            self._end(BrokenConnection("The reply is too large."))
+            self._fail(BrokenConnection(f"The reply is larger than {MAX_REPLY_BYTES} bytes."))
 
     def on_message_complete(self) -> None:
-        """Hand over a whole reply; an interim one (1xx) is skipped."""
+        """Deliver a complete reply; interim ones (1xx) are skipped."""
         if self._on_reply is None or self._parser.get_status_code() < 200:
             return
         if not self._parser.should_keep_alive():
@@ -205,21 +205,21 @@
         self._body = []
         self.idle_timeout = _keep_alive_timeout(reply.header(b"keep-alive"))
         if self._transport.get_write_buffer_size():
-            # The server answered before it had read the whole request; the rest of the body would
-            # stand where it expects the next request.
+            # The server replied before it had read the whole request, so it would parse the rest of
+            # the body as the next request.
             self._broken = True
-        # After the parser has returned: bytes behind the reply are seen before the connection is
-        # offered for another request.
-        asyncio.get_running_loop().call_soon(self._settle)
+        # Deferred until the parser has returned, so that bytes after the reply are detected before
+        # the connection is offered for another request.
+        asyncio.get_running_loop().call_soon(self._release)
         on_reply(reply)
 
-    def _settle(self) -> None:
+    def _release(self) -> None:
         if self._broken:
             self._transport.abort()
         elif not self._transport.is_closing():
             self._on_idle(self)
 
-    def _end(self, error: BrokenConnection) -> None:
+    def _fail(self, error: BrokenConnection) -> None:
         self._broken = True
         on_broken, self._on_reply, self._on_broken = self._on_broken, None, None
         if self._transport is not None:
@@ -228,9 +228,9 @@
             on_broken(error)
 
 
-@lru_cache(_KNOWN_TIMEOUTS)
+@lru_cache(_TIMEOUT_CACHE_SIZE)
 def _keep_alive_timeout(value: bytes | None) -> float | None:
-    """Return after how many idle seconds the server will close, None where it doesn't say."""
+    """Return the idle timeout in seconds from a `Keep-Alive` value; None if it has none."""
     if value is None:
         return None
     for field in value.split(b","):
--- a/packages/limpethollow-node/src/limpethollow_node/engine/connection/listeners.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/connection/listeners.py
@@ -1,20 +1,20 @@
-"""Bound sockets on which callers connect."""
+"""Listening sockets for callers."""
 
 import socket
 
-# Callers that wait for the process to take them; more are refused by the system.
+# Connections that may wait to be accepted; the kernel refuses further ones.
 BACKLOG = 512
 
 
 def open_listener(host: str, port: int) -> socket.socket:
-    """Bind an address and let callers queue there until the process takes them.
+    """Bind an address and listen; connections queue until the process accepts them.
 
     Usage:
         listener = open_listener("10.1.0.9", 8104)
         await server.serve(listener)
 
     Raises:
-        OSError: The address is taken or not this machine's.
+        OSError: The address is in use or doesn't belong to this machine.
     """
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
--- a/packages/limpethollow-node/src/limpethollow_node/engine/connection/peerlinks.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/connection/peerlinks.py
@@ -1,4 +1,4 @@
-"""One link to another instance: frames both ways over a websocket."""
+"""A link to another instance: frames in both directions over a websocket."""
 
 import asyncio
 import contextlib
@@ -14,12 +14,12 @@
 from limpethollow_policy.process.topology import HEARTBEAT_SECONDS
 from limpethollow_wire.limits import MAX_FRAME_BYTES
 
-# Frames that may wait for a peer that doesn't read; a link with more is given up.
-_MAX_WAITING = 512
-# Two heartbeats may be late, and some delay of a busy instance comes on top.
-_MISSED_HEARTBEATS = 2.6
-# Options of every link: no compression, since frames are small, and no pings of the library's own,
-# since heartbeats carry more than a sign of life.
+# Frames that may be queued for a peer that doesn't read; the link is closed above this.
+_MAX_QUEUED_FRAMES = 512
+# Tolerates two missing heartbeats plus some scheduling delay of a busy instance.
+_SILENCE_INTERVALS = 2.6
+# Websocket options of every link. Compression is off because frames are small, and the library's
+# pings are off because heartbeats already show liveness and carry more data.
 LINK_OPTIONS = {
     "compression": None,
     "ping_interval": None,
@@ -29,27 +29,28 @@
 
 
 class PeerLink:
-    """A link, from its first frame to its end.
+    """An open link to another instance.
 
     Args:
         socket: The open websocket.
-        on_frame: Called with this link and each frame.
-        metrics: Counts the bytes sent by kind of frame.
-        now: When the link was opened, in monotonic seconds.
-        dialled: Whether this end opened it.
+        on_frame: Called with this link and each received frame.
+        metrics: Counts sent bytes by frame type.
+        now: Monotonic time in seconds at which the link was opened.
+        dialled: Whether this instance opened the connection.
 
     Attributes:
-        interval: Seconds between two heartbeats of the other instance.
-        beat_due: Monotonic second at which the next heartbeat is to be sent here.
-        name: Name of the other instance; None until its first frame.
-        source: What the other instance knows, and whether it runs in another failure domain.
+        interval: Seconds between two heartbeats from the other instance.
+        beat_due: Monotonic time in seconds at which this instance sends its next heartbeat.
+        name: Name of the other instance; None until its first frame arrives.
+        source: State versions that the other instance has, and whether it is in another failure
+            domain.
     """
 
     __slots__ = (
         "_metrics",
-        "_offset",
+        "_min_clock_difference",
         "_on_frame",
-        "_outbox",
+        "_send_queue",
         "_socket",
         "beat_due",
         "dialled",
@@ -75,8 +76,8 @@
         self._on_frame = on_frame
         self._metrics = metrics
         self.source = Source()
-        self._offset = float("inf")
-        self._outbox: asyncio.Queue[bytes] = asyncio.Queue(_MAX_WAITING)
+        self._min_clock_difference = float("inf")
+        self._send_queue: asyncio.Queue[bytes] = asyncio.Queue(_MAX_QUEUED_FRAMES)
         self.name: str | None = None
         self.incarnation = 0
         self.ready = False
@@ -91,42 +92,42 @@
         return self._socket.remote_address[0]
 
     def is_silent(self, now: float) -> bool:
-        """Return whether nothing was heard for so long that the other instance must be gone."""
-        return now - self.heard_at > _MISSED_HEARTBEATS * self.interval
+        """Return whether the other instance missed enough heartbeats to be considered down."""
+        return now - self.heard_at > _SILENCE_INTERVALS * self.interval
 
     def lag(self, sent_at: float) -> float:
-        """Return how many seconds later than the quickest a frame came.
+        """Return the delay in seconds of the last frame beyond the fastest frame on this link.
 
-        The two ends' clocks differ by an amount that doesn't change, so the least difference that
-        was seen stands for a frame that nothing held up.
+        The offset between the two monotonic clocks is constant, so the smallest difference seen so
+        far is that of a frame that was not delayed.
 
         Args:
-            sent_at: The other end's monotonic second at which it sent the frame.
+            sent_at: The sender's monotonic time in seconds at which it sent the frame.
         """
         passed = self.heard_at - sent_at
-        self._offset = min(self._offset, passed)
-        return passed - self._offset
+        self._min_clock_difference = min(self._min_clock_difference, passed)
+        return passed - self._min_clock_difference
 
     def send(self, frame: Frame) -> None:
-        """Send a frame; never waits."""
+        """Queue a frame for sending without blocking."""
         self.send_encoded(encode_frame(frame), frame)
 
     def send_encoded(self, data: bytes, frame: Frame) -> None:
-        """Send a frame that is encoded already."""
+        """Queue an already encoded frame for sending."""
         kind = type(frame).__struct_config__.tag
         self._metrics.count(
             "link_bytes", f"{kind}/{'far' if self.source.far else 'near'}", len(data)
         )
         try:
-            self._outbox.put_nowait(data)
+            self._send_queue.put_nowait(data)
         except asyncio.QueueFull:
             self.close()
 
     async def run(self) -> None:
-        """Read and write frames until the link ends.
+        """Read and write frames until the link is closed.
 
         Raises:
-            BadRequest: The peer sent something that is no frame.
+            BadRequest: The peer sent an invalid frame.
         """
         writer = asyncio.create_task(self._write())
         loop = asyncio.get_running_loop()
@@ -141,10 +142,10 @@
             self.close()
 
     def close(self) -> None:
-        """End the link at once."""
+        """Abort the connection."""
         self._socket.transport.abort()
 
     async def _write(self) -> None:
         with contextlib.suppress(ConnectionClosed, OSError):
             while True:
-                await self._socket.send(await self._outbox.get())
+                await self._socket.send(await self._send_queue.get())
--- a/packages/limpethollow-node/src/limpethollow_node/engine/connection/sockets.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/connection/sockets.py
@@ -1,41 +1,41 @@
-"""What the system can tell of a TCP connection, and is asked to watch on it."""
+"""TCP socket options and statistics."""
 
 import socket
 import struct
 
-# A peer without power, or a path that went silent, shows on an open connection only by missing
-# replies to these probes: found within about 3 s instead of the system's default of two hours.
-_KEEP_ALIVE_IDLE_S = 1
-_KEEP_ALIVE_INTERVAL_S = 1
-_KEEP_ALIVE_PROBES = 2
-# A write that nobody acknowledges ends the connection after this time, as the probes would.
-_UNACKNOWLEDGED_MS = 3000
-# Where the smoothed round trip, in microseconds, stands in Linux's struct tcp_info (linux/tcp.h).
-_ROUND_TRIP_FORMAT, _ROUND_TRIP_OFFSET = "=I", 68
-_INFO_BYTES = 104
+# A peer that lost power, or a broken network path, is only detected on an idle connection by
+# unanswered keep-alive probes. These values detect it within about 3 s; the default is two hours.
+_KEEPALIVE_IDLE_S = 1
+_KEEPALIVE_INTERVAL_S = 1
+_KEEPALIVE_PROBES = 2
+# Unacknowledged data closes the connection after this time, about as soon as the probes would.
+_USER_TIMEOUT_MS = 3000
+# Format and offset of the smoothed round-trip time, in µs, in Linux's tcp_info (linux/tcp.h).
+_RTT_FORMAT, _RTT_OFFSET = "=I", 68
+_TCP_INFO_BYTES = 104
 
 
 def set_probes(sock: socket.socket | None) -> None:
-    """Let the system find out within seconds that the peer of a connection is silent."""
+    """Enable TCP keep-alive and a user timeout, so that dead peers are detected within seconds."""
     if sock is None:
         return
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _KEEP_ALIVE_IDLE_S)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _KEEP_ALIVE_INTERVAL_S)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _KEEP_ALIVE_PROBES)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _UNACKNOWLEDGED_MS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _KEEPALIVE_IDLE_S)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _KEEPALIVE_INTERVAL_S)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _KEEPALIVE_PROBES)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _USER_TIMEOUT_MS)
 
 
 def round_trip(sock: socket.socket | None) -> float | None:
-    """Return the seconds of a connection's round trip as the system measures it; None where not.
+    """Return the kernel's round-trip time of a connection in seconds; None if unavailable.
 
-    The first measurement is that of the connection's handshake, so it is there from the start.
+    The kernel first measures it during the handshake, so it is available from the start.
     """
     if sock is None:
         return None
     try:
-        info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _INFO_BYTES)
-        (microseconds,) = struct.unpack_from(_ROUND_TRIP_FORMAT, info, _ROUND_TRIP_OFFSET)
+        info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _TCP_INFO_BYTES)
+        (microseconds,) = struct.unpack_from(_RTT_FORMAT, info, _RTT_OFFSET)
     except (OSError, struct.error):
         return None
     return microseconds / 1_000_000 or None
--- a/packages/limpethollow-node/src/limpethollow_node/engine/frames.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/frames.py
@@ -1,4 +1,4 @@
-"""What instances say to each other: CBOR frames over websockets."""
+"""Frames exchanged between instances: CBOR arrays over websockets."""
 
 import zlib
 from collections.abc import Iterator
@@ -17,26 +17,26 @@
 from limpethollow_wire.exceptions import BadRequest
 from limpethollow_wire.limits import MAX_FRAME_BYTES
 
-# Frames over this size are lists of searchers, instances or routes, whose fields repeat, so they
-# shrink well at the fastest level. Records of parts do not shrink.
-_SMALL_BYTES = 2048
-_LEVEL = 1
-# First byte of compressed data. A frame is a CBOR array, whose first byte is 0x80 to 0x9f.
-_COMPRESSED = b"\x78"
+# Frames above this size are mostly lists of searchers, instances or routes, whose repetitive fields
+# compress well at the fastest level. Result records don't compress.
+_COMPRESSION_THRESHOLD = 2048
+_COMPRESSION_LEVEL = 1
+# First byte of zlib data. An uncompressed frame is a CBOR array, which starts with 0x80 to 0x9f.
+_ZLIB_FIRST_BYTE = b"\x78"
 
 
 class Frame(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """Base of all frames."""
+    """Base class of all frames."""
 
 
 class Hello(Frame, frozen=True, tag="hello"):
-    """First frame on a link, both ways.
+    """First frame on a link, in both directions.
 
     Attributes:
-        name: Name of the instance.
-        incarnation: Start of its process.
-        failure_domain: Where it runs.
-        known: How much it knows.
+        name: Name of the sending instance.
+        incarnation: Number that identifies the start of its process.
+        failure_domain: Failure domain that it runs in.
+        known: Versions of the state that it has.
     """
 
     name: str
@@ -46,14 +46,15 @@
 
 
 class Heartbeat(Frame, frozen=True, tag="beat"):
-    """Said at regular intervals.
+    """Sent at regular intervals to show that the sender is alive.
 
     Attributes:
-        ready: Whether callers may use the instance.
-        follows: Whether it watches the store itself and nothing stands in the way.
-        known: How much it knows; a peer that knows less asks for the rest.
-        sent_at: The sender's monotonic second; only differences between two frames mean something.
-        interval: Seconds until the next one on this link.
+        ready: Whether the instance accepts callers.
+        follows: Whether it watches the store itself, and successfully.
+        known: Versions of the state that it has; a peer with older ones requests the difference.
+        sent_at: The sender's monotonic time in seconds; only differences between frames are
+            meaningful.
+        interval: Seconds until the next heartbeat on this link.
     """
 
     ready: bool
@@ -64,37 +65,37 @@
 
 
 class Silent(Frame, frozen=True, tag="silent"):
-    """The instances that a relay knows and doesn't hear, or that aren't ready; said on changes.
+    """Instances from which a relay receives no heartbeats or that aren't ready; sent on changes.
 
-    Relays link to all instances, so there are few such names, and a list of all that are heard
-    would be long.
+    Relays are linked to all instances, so this list is short; a list of the instances that do
+    send heartbeats would be long.
 
     Attributes:
-        names: Their names; None where the sender is no relay any more.
+        names: Names of these instances; None if the sender is no longer a relay.
     """
 
     names: list[str] | None
 
 
 class Leaving(Frame, frozen=True, tag="leaving"):
-    """The sender takes no new callers."""
+    """Announces that the sender accepts no new callers."""
 
 
 class VersionNews(Frame, frozen=True, tag="version"):
-    """A configuration version, whole."""
+    """A complete configuration version."""
 
     version: RoutingVersion
 
 
 class SearcherNews(Frame, frozen=True, tag="searchers"):
-    """Searchers that changed after one revision, up to another.
+    """Searchers that changed between two revisions.
 
     Attributes:
-        base: Revision after which the changes happened; None where all searchers are told.
-        revision: Revision up to which they are told.
-        put: Searchers that came or changed.
-        gone: Ids of searchers that went.
-        era: The store's era of both revisions; 0 from a release that didn't say.
+        base: Revision that the changes apply to; None if the frame lists all searchers.
+        revision: Revision after the changes.
+        put: Searchers that were added or changed.
+        gone: Ids of searchers that were removed.
+        era: The store's era of both revisions; 0 from releases that don't send it.
     """
 
     base: int | None
@@ -105,7 +106,7 @@
 
 
 class InstanceNews(Frame, frozen=True, tag="instances"):
-    """Instances that changed; as `SearcherNews`."""
+    """Instances that changed; see `SearcherNews`."""
 
     base: int | None
     revision: int
@@ -115,7 +116,7 @@
 
 
 class EvacuationNews(Frame, frozen=True, tag="evacuations"):
-    """Failure domains that were evacuated or restored; as `SearcherNews`."""
+    """Failure domains that were evacuated or restored; see `SearcherNews`."""
 
     base: int | None
     revision: int
@@ -125,16 +126,16 @@
 
 
 class CrashNews(Frame, frozen=True, tag="crashes"):
-    """Evidence on requests under which searchers end; told to all, and told on where it is new."""
+    """Evidence of requests that crash searchers; sent to all, and forwarded where it is new."""
 
     reports: list[CrashReport]
 
 
 class Ask(Frame, frozen=True, tag="ask"):
-    """Asks for all that is newer than what the sender knows.
+    """Requests all state that is newer than the sender's.
 
     Attributes:
-        known: How much it knows.
+        known: Versions of the state that the sender has.
     """
 
     known: Known
@@ -144,8 +145,8 @@
     """One call of a batch.
 
     Attributes:
-        shard: Service that holds the shard.
-        searcher: Id of the searcher to ask.
+        shard: Service that serves the shard.
+        searcher: Id of the searcher to call.
     """
 
     shard: str
@@ -153,18 +154,19 @@
 
 
 class Batch(Frame, frozen=True, tag="batch"):
-    """Asks the receiver to make calls to searchers near it, each once.
+    """Asks the receiver to call searchers in its failure domain, each exactly once.
 
     Attributes:
-        number: The sender's number for the batch.
-        head: Request line and headers, without those that differ between calls.
+        number: Number that the sender assigned to the batch.
+        head: Request line and headers, without the headers that differ between calls.
         body: The request's body.
         request_id: The caller's id for the request.
-        calls: The calls.
-        top: Records wanted.
-        left: Seconds until nobody waits for the answer.
-        merge_for: Seconds for which results are collected; later ones are told one by one.
-        sent_at: As in `Heartbeat`.
+        calls: The calls to make.
+        top: Maximum number of records to return.
+        left: Seconds until the sender stops waiting.
+        merge_for: Seconds for which results are collected into one frame; later ones are sent
+            separately.
+        sent_at: See `Heartbeat`.
     """
 
     number: int
@@ -179,15 +181,15 @@
 
 
 class BatchParts(Frame, frozen=True, tag="parts"):
-    """Parts of a batch, merged.
+    """Merged results of several calls of a batch.
 
     Attributes:
-        number: The batch.
-        proofs: Signatures by shard.
-        milliseconds: How long each call took, in the order of `proofs`.
-        records: The greatest records of these parts together, as one body.
-        loads: What the searchers said of their load, in the order of `proofs`; None where a
-            searcher said nothing.
+        number: Number of the batch.
+        proofs: Signatures of the parts by shard.
+        milliseconds: Duration of each call, in the order of `proofs`.
+        records: The top records of all these parts, encoded as one body.
+        loads: Load reports of the searchers, in the order of `proofs`; None for a searcher that
+            sent none.
     """
 
     number: int
@@ -197,26 +199,28 @@
     loads: list[LoadReport | None]
 
     def __post_init__(self) -> None:
-        """Refuse a frame whose lists don't go together: a shard would be lost without a word."""
+        """Reject lists of different lengths, with which a shard would be dropped silently."""
         if not len(self.proofs) == len(self.milliseconds) == len(self.loads):
-            raise ValueError("A frame of parts has not one time and load for each proof.")
+            raise ValueError(
+                "The numbers of signatures, durations and loads in a parts frame differ."
+            )
 
     @property
     def calls(self) -> Iterator[tuple[str, float, LoadReport | None]]:
-        """Return each shard, the seconds that its call took, and its searcher's load."""
+        """Yield each shard, the duration of its call in seconds, and its searcher's load."""
         for shard, taken, load in zip(self.proofs, self.milliseconds, self.loads, strict=True):
             yield shard, taken / 1000, load
 
 
 class BatchFailure(Frame, frozen=True, tag="failure"):
-    """One call of a batch that gave no part.
+    """A failed call of a batch.
 
     Attributes:
-        number: The batch.
-        shard: The call's shard.
-        verdict: Value of the verdict on it.
-        status: Status of the searcher's reply; 0 where there was none.
-        reason: What happened.
+        number: Number of the batch.
+        shard: Shard of the call.
+        verdict: Value of the call's `Verdict`.
+        status: Status of the searcher's reply; 0 if there was none.
+        reason: Cause of the failure.
     """
 
     number: int
@@ -227,10 +231,10 @@
 
 
 class BatchEnd(Frame, frozen=True, tag="end"):
-    """Nobody waits for the rest of a batch.
+    """Cancels the remaining calls of a batch.
 
     Attributes:
-        number: The batch.
+        number: Number of the batch.
     """
 
     number: int
@@ -254,38 +258,40 @@
 )
 
 
-# Frames by the tag that stands first in each. Converting to the union of all kinds would work its
-# types out anew each time.
-_KINDS: dict[str, type[Frame]] = {kind.__struct_config__.tag: kind for kind in get_args(AnyFrame)}
+# Frame types by tag, which is the first element of each frame. Converting to the union type instead
+# would resolve its member types on every call.
+_FRAME_TYPES: dict[str, type[Frame]] = {
+    kind.__struct_config__.tag: kind for kind in get_args(AnyFrame)
+}
 
 
 def encode_frame(frame: Frame) -> bytes:
-    """Encode a frame; large ones are compressed."""
+    """Encode a frame, and compress it if it is large."""
     data = to_cbor(frame)
-    return zlib.compress(data, _LEVEL) if len(data) > _SMALL_BYTES else data
+    return zlib.compress(data, _COMPRESSION_LEVEL) if len(data) > _COMPRESSION_THRESHOLD else data
 
 
 def decode_frame(data: bytes) -> AnyFrame:
     """Decode a frame.
 
     Raises:
-        BadRequest: The bytes are no frame, or a compressed one that is too large.
+        BadRequest: The data is not a valid frame, or is too large when decompressed.
     """
-    value = from_cbor(_unpack(data) if data[:1] == _COMPRESSED else data)
+    value = from_cbor(_decompress(data) if data[:1] == _ZLIB_FIRST_BYTE else data)
     tag = value[0] if isinstance(value, list) and value else None
-    kind = _KINDS.get(tag) if isinstance(tag, str) else None
+    kind = _FRAME_TYPES.get(tag) if isinstance(tag, str) else None
     if kind is None:
-        raise BadRequest("The frame is of no known kind.")
+        raise BadRequest("The frame has an unknown type.")
     return convert(value, kind)
 
 
-def _unpack(data: bytes) -> bytes:
-    unpacker = zlib.decompressobj()
+def _decompress(data: bytes) -> bytes:
+    decompressor = zlib.decompressobj()
     try:
-        # Bounded: a few bytes could otherwise unpack to all of the memory.
-        plain = unpacker.decompress(data, MAX_FRAME_BYTES)
+        # The size is limited because a small frame could otherwise expand to exhaust the memory.
+        plain = decompressor.decompress(data, MAX_FRAME_BYTES)
     except zlib.error as error:
-        raise BadRequest(f"The frame can't be unpacked: {error}.") from None
-    if not unpacker.eof:
-        raise BadRequest(f"The frame is cut off or unpacks to over {MAX_FRAME_BYTES} bytes.")
+        raise BadRequest(f"The frame can't be decompressed: {error}.") from None
+    if not decompressor.eof:
+        raise BadRequest(f"The frame is truncated or decompresses to over {MAX_FRAME_BYTES} bytes.")
     return plain
--- a/packages/limpethollow-node/src/limpethollow_node/engine/messages.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/messages.py
@@ -1,4 +1,4 @@
-"""Requests and replies inside the engine, and the header names that a deployment speaks."""
+"""HTTP requests and replies, and the header names that a deployment uses."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -8,10 +8,10 @@
 
 Headers = list[tuple[bytes, bytes]]
 
-# Enough that two requests never have the same by chance.
+# Large enough to make collisions between requests practically impossible.
 _FINGERPRINT_BYTES = 16
 
-# Headers that concern one connection only (RFC 9110, 7.6.1); both sides write their own.
+# Hop-by-hop headers (RFC 9110, 7.6.1), which are not forwarded.
 CONNECTION_HEADERS = frozenset(
     {
         b"connection",
@@ -45,18 +45,18 @@
 
 @dataclass(slots=True, frozen=True)
 class HeaderNames:
-    """Names, in lower case, of the headers that a deployment gives a meaning.
+    """Lower-case names of the headers that are specific to a deployment.
 
     Attributes:
-        request_id: Id of a caller's request; replies echo it.
-        time_left: Milliseconds that the sender will still wait.
-        expected_searcher: Id of the only searcher that shall run the request.
-        proof: The searcher's signature under a reply.
-        not_run: Present where a searcher did not run the request.
-        part_proofs: Signatures of the parts in a search's answer.
-        missing_parts: Number of shards left out of a search's answer.
-        load: What a searcher says of its load.
-        decode_load: Decodes that header; raises `BadRequest` where it can't be read.
+        request_id: Id of the caller's request; echoed in replies.
+        time_left: Milliseconds until the sender stops waiting.
+        expected_searcher: Id of the only searcher that may run the request.
+        proof: The searcher's signature of its reply.
+        not_run: Present if the searcher did not run the request.
+        part_proofs: Signatures of the parts in a search reply.
+        missing_parts: Number of shards missing from a search reply.
+        load: The searcher's load report.
+        decode_load: Decodes the load header; raises `BadRequest` if it is invalid.
     """
 
     request_id: bytes
@@ -72,7 +72,7 @@
 
 @dataclass(slots=True)
 class Request:
-    """A whole request as a caller sent it."""
+    """A complete request from a caller."""
 
     method: bytes
     target: bytes
@@ -83,9 +83,9 @@
 
     @property
     def fingerprint(self) -> str:
-        """Return a digest of what is asked by whom: the same for each repeat of the request.
+        """Return a digest of the request and its credentials that is the same for each retry.
 
-        Ids and deadlines differ between repeats, and are left out.
+        Ids and deadlines are excluded because they differ between retries.
         """
         if self._fingerprint is None:
             digest = blake2b(digest_size=_FINGERPRINT_BYTES)
@@ -98,7 +98,7 @@
 
     @property
     def path(self) -> str:
-        """Return the path without the query."""
+        """Return the path of the target, without the query string."""
         return self.target.partition(b"?")[0].decode("latin-1")
 
     def header(self, name: bytes) -> bytes | None:
@@ -108,7 +108,7 @@
 
 @dataclass(slots=True)
 class Reply:
-    """A whole reply, to a caller or from a searcher."""
+    """A complete reply, to a caller or from a searcher."""
 
     status: int
     headers: Headers = field(default_factory=list)
@@ -118,17 +118,17 @@
     def header(self, name: bytes) -> bytes | None:
         """Return the first header of a name in lower case.
 
-        A searcher's reply is asked for five names, and a search has one reply for each shard; so
-        the names are put in lower case once.
+        Five headers are looked up in each searcher's reply, and a search has one reply per shard,
+        so the lower-case names are computed once.
         """
         if self._by_name is None:
-            # Backwards, so that the first header of a name stays.
+            # In reverse order, so that the first header of a name takes precedence.
             self._by_name = {key.lower(): value for key, value in reversed(self.headers)}
         return self._by_name.get(name)
 
 
 def find_header(headers: Headers, name: bytes) -> bytes | None:
-    """Return the value of the first header of a name in lower case, None where there is none."""
+    """Return the value of the first header with a lower-case name; None if there is none."""
     for key, value in headers:
         if key.lower() == name:
             return value
@@ -136,11 +136,11 @@
 
 
 def end_to_end(headers: Headers, drop: frozenset[bytes] = frozenset()) -> Headers:
-    """Return the headers that are passed on.
+    """Return the end-to-end headers, which are forwarded.
 
     Args:
         headers: All headers of a message.
-        drop: Further names in lower case to leave out.
+        drop: Lower-case names of further headers to exclude.
     """
     named = find_header(headers, b"connection")
     if named is not None:
@@ -153,5 +153,5 @@
 
 
 def render_headers(headers: Headers) -> bytes:
-    """Return headers as they stand on the wire, without the empty line after them."""
+    """Return the headers in wire format, without the empty line that ends them."""
     return b"".join(b"%b: %b\r\n" % header for header in headers)
--- a/packages/limpethollow-node/src/limpethollow_node/engine/request/__init__.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/request/__init__.py
@@ -1,1 +1,1 @@
-"""What lives as long as a request."""
+"""Objects whose lifetime is that of a request."""
--- a/packages/limpethollow-node/src/limpethollow_node/engine/request/batches.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/request/batches.py
@@ -1,7 +1,8 @@
-"""Calls of a search that an instance near the searchers makes and merges.
+"""Batches: search calls delegated to an instance in the searchers' failure domain.
 
-Most of a search's bytes are its parts. Asked from another failure domain one by one, each crosses
-with its headers; an instance there sends back one frame with the greatest records of all of them.
+Most bytes of a search are the parts in the shards' replies. With direct calls to another failure
+domain, each part and its headers cross the link between the domains. An instance there merges them
+and returns one frame with the top records.
 """
 
 import itertools
@@ -20,14 +21,14 @@
 from limpethollow_node.engine.request.batchworks import WorkedBatch
 from limpethollow_policy.request.verdicts import Verdict
 
-# Fewer calls than this to one failure domain are made directly: a frame there and back costs about
-# as much as one call.
+# Fewer calls than this to a failure domain are made directly, since a pair of frames costs about as
+# much as one call.
 LEAST_CALLS = 2
-# An instance that let a batch wait until the hedges get no batches for this long. Its heartbeats
-# stop within that time if it is frozen or cut off.
+# An instance that returned nothing for a batch until the hedge delay gets no batches for this long.
+# If it is frozen or unreachable, its missing heartbeats are detected within that time.
 SUSPECT_SECONDS = 1.5
-# A batch that came this much later than others on its link is not worked on: searchers shall get
-# nothing more half a second after a caller has left.
+# A batch that was delayed on its link by more than this is rejected: searchers must receive no more
+# calls half a second after the caller has disconnected.
 MOST_LAG = 0.3
 
 OnParts = Callable[[BatchParts], None]
@@ -35,11 +36,11 @@
 
 
 class Links(Protocol):
-    """The links to other instances, as far as batches need them.
+    """The operations on links to other instances that batches need.
 
     Attributes:
-        on_batch_frame: Called with link and frame for each frame of a batch.
-        on_link_lost: Called with each link that was lost.
+        on_batch_frame: Called with the link and the frame for each frame about a batch.
+        on_link_lost: Called with each link that was closed.
     """
 
     on_batch_frame: Callable[[PeerLink, AnyFrame], None]
@@ -49,21 +50,21 @@
         """Return links to up to `count` live instances in a failure domain."""
 
     def suspect(self, link: PeerLink, until: float) -> None:
-        """Give an instance no batches for a while."""
+        """Send no batches to an instance until a given time."""
 
 
 class SentBatch:
-    """A batch that another instance works on for this one.
+    """A batch that was sent to another instance.
 
     Args:
         link: Link to that instance.
-        frame: What it was asked.
-        on_parts: Called with merged parts.
-        on_failure: Called with shard, verdict, status and reason of a call that gave no part.
-        forget: Called with the batch's number once nothing more will come.
+        frame: The frame that was sent.
+        on_parts: Called with each frame of merged parts.
+        on_failure: Called with the shard, verdict, status and reason of each failed call.
+        forget: Called with the batch's number once no more results are expected.
     """
 
-    __slots__ = ("_forget", "_frame", "_on_failure", "_on_parts", "_open", "link")
+    __slots__ = ("_forget", "_frame", "_on_failure", "_on_parts", "_pending", "link")
 
     def __init__(
         self,
@@ -78,68 +79,68 @@
         self._on_parts = on_parts
         self._on_failure = on_failure
         self._forget = forget
-        self._open = {call.shard for call in frame.calls}
+        self._pending = {call.shard for call in frame.calls}
 
     @property
     def silent(self) -> bool:
-        """Return whether nothing has come of the batch yet."""
-        return len(self._open) == len(self._frame.calls)
+        """Return whether no result has arrived yet."""
+        return len(self._pending) == len(self._frame.calls)
 
     def drop(self, shard: str) -> None:
-        """Want nothing more of one shard; the last one ends the batch."""
-        if shard not in self._open:
+        """Cancel the call to one shard; cancels the batch once no call is left."""
+        if shard not in self._pending:
             return
-        self._open.discard(shard)
-        if not self._open:
+        self._pending.discard(shard)
+        if not self._pending:
             self._forget(self._frame.number)
             self.link.send(BatchEnd(self._frame.number))
 
     def parts(self, frame: BatchParts) -> None:
-        """Take in merged parts."""
-        self._settle(frame.proofs)
+        """Handle merged parts."""
+        self._complete(frame.proofs)
         self._on_parts(frame)
 
     def failure(self, frame: BatchFailure) -> None:
-        """Take in a failed call."""
-        if frame.shard in self._open:
-            self._settle([frame.shard])
+        """Handle a failed call."""
+        if frame.shard in self._pending:
+            self._complete([frame.shard])
             verdict = Verdict(frame.verdict)
             self._on_failure(frame.shard, verdict, frame.status, frame.reason)
 
     def lost(self) -> None:
-        """Take in that the link is gone: the open calls may have run."""
-        shards, self._open = self._open, set()
+        """Handle the loss of the link: the pending calls may have run."""
+        shards, self._pending = self._pending, set()
         self._forget(self._frame.number)
         for shard in shards:
             self._on_failure(shard, Verdict.UNKNOWN, 0, "link_lost")
 
-    def _settle(self, shards: Iterable[str]) -> None:
-        self._open.difference_update(shards)
-        if not self._open:
+    def _complete(self, shards: Iterable[str]) -> None:
+        self._pending.difference_update(shards)
+        if not self._pending:
             self._forget(self._frame.number)
 
 
 class BatchDesk:
-    """Sends batches to peers, and works on those that peers send.
+    """Sends batches to peers, and executes those that peers send.
 
     Args:
-        dispatch: What the process shares.
+        dispatch: State shared by the process.
         links: The links to other instances.
     """
 
-    __slots__ = ("_dispatch", "_links", "_numbers", "_sent", "_worked")
+    __slots__ = ("_batch_numbers", "_dispatch", "_executing", "_links", "_sent")
 
     def __init__(self, dispatch: Dispatch, links: Links) -> None:
         self._dispatch = dispatch
         self._links = links
-        self._numbers = itertools.count(1)
+        self._batch_numbers = itertools.count(1)
         self._sent: dict[int, SentBatch] = {}
-        self._worked: dict[tuple[int, int], WorkedBatch] = {}
+        self._executing: dict[tuple[int, int], WorkedBatch] = {}
         links.on_batch_frame = self._on_frame
         links.on_link_lost = self._on_link_lost
 
     def links_near(self, failure_domain: str, count: int) -> list[PeerLink]:
-        """Return links to up to `count` instances in a failure domain, none where there is none."""
+        """Return links to up to `count` instances in a failure domain, possibly none."""
         return self._links.near(failure_domain, count, self._dispatch.loop.time())
 
     def send(
@@ -149,15 +150,15 @@
         on_parts: OnParts,
         on_failure: OnFailure,
     ) -> SentBatch:
-        """Ask an instance to work on a batch.
+        """Send a batch to an instance.
 
         Args:
-            link: Link to it.
-            batch: Returns the frame for a number.
-            on_parts: As for `SentBatch`.
-            on_failure: As for `SentBatch`.
+            link: Link to the instance.
+            batch: Returns the frame for a batch number.
+            on_parts: See `SentBatch`.
+            on_failure: See `SentBatch`.
         """
-        frame = batch(next(self._numbers))
+        frame = batch(next(self._batch_numbers))
         sent = SentBatch(link, frame, on_parts, on_failure, self._forget)
         self._sent[frame.number] = sent
         link.send(frame)
@@ -165,7 +166,7 @@
         return sent
 
     def suspect(self, sent: SentBatch) -> None:
-        """Give the instance of a batch no more for a while: it was silent until the hedges."""
+        """Pause batches to an instance that returned nothing until the hedge delay."""
         self._dispatch.metrics.count("batches_silent")
         self._links.suspect(sent.link, self._dispatch.loop.time() + SUSPECT_SECONDS)
 
@@ -174,18 +175,19 @@
 
     def _on_frame(self, link: PeerLink, frame: AnyFrame) -> None:
         if isinstance(frame, Batch):
-            self._work(link, frame)
+            self._execute(link, frame)
         elif isinstance(frame, BatchEnd):
-            worked = self._worked.pop((id(link), frame.number), None)
+            worked = self._executing.pop((id(link), frame.number), None)
             if worked is not None:
                 worked.end()
         elif isinstance(frame, BatchParts | BatchFailure):
             self._on_result(frame)
 
-    def _work(self, link: PeerLink, frame: Batch) -> None:
+    def _execute(self, link: PeerLink, frame: Batch) -> None:
         if link.lag(frame.sent_at) > MOST_LAG:
-            # It was held up on the way. Its caller may have left, and the word of that is behind it
-            # on the same link; the search's hedges have replaced it.
+            # The batch was delayed in transit. The search has hedged these calls by now, and its
+            # caller may have disconnected: the frame that cancels the batch would be behind it on
+            # the same link.
             self._dispatch.metrics.count("batches_late")
             for call in frame.calls:
                 verdict = Verdict.NOT_SENT.value
@@ -193,8 +195,8 @@
                 link.send(failure)
             return
         key = (id(link), frame.number)
-        worked = WorkedBatch(self._dispatch, link, frame, lambda: self._worked.pop(key, None))
-        self._worked[key] = worked
+        worked = WorkedBatch(self._dispatch, link, frame, lambda: self._executing.pop(key, None))
+        self._executing[key] = worked
         worked.start()
 
     def _on_result(self, frame: BatchParts | BatchFailure) -> None:
@@ -209,5 +211,5 @@
     def _on_link_lost(self, link: PeerLink) -> None:
         for sent in [sent for sent in self._sent.values() if sent.link is link]:
             sent.lost()
-        for key in [key for key in self._worked if key[0] == id(link)]:
-            self._worked.pop(key).end()
+        for key in [key for key in self._executing if key[0] == id(link)]:
+            self._executing.pop(key).end()
--- a/packages/limpethollow-node/src/limpethollow_node/engine/request/batchworks.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/request/batchworks.py
@@ -1,4 +1,4 @@
-"""A batch of calls that this instance makes for another one, near its own searchers."""
+"""Execution of a batch that another instance sent."""
 
 import itertools
 from collections.abc import Callable
@@ -15,19 +15,20 @@
 from limpethollow_policy.request.parts import PartSet
 from limpethollow_policy.request.verdicts import Verdict
 
-# Parts that come after the time for merging wait this share of it for others: each frame costs both
-# ends as much as a call, and those that come late come together, as when a searcher's pause ends.
-_GATHER_SHARE = 0.15
+# Parts that arrive after the merge window wait for this fraction of it to be sent together: each
+# frame costs both instances as much as a call, and late parts tend to arrive at the same time, such
+# as when a searcher's pause ends.
+_LATE_MERGE_FRACTION = 0.15
 
 
 class WorkedBatch:
-    """Makes the calls of a batch, and sends back merged parts and single failures.
+    """Makes the calls of a batch, and returns merged parts and individual failures.
 
     Args:
-        dispatch: What the process shares.
-        link: Link to the instance that asked.
-        batch: What it asked for.
-        done: Called once all calls have ended.
+        dispatch: State shared by the process.
+        link: Link to the instance that sent the batch.
+        batch: The batch.
+        done: Called once all calls have completed.
     """
 
     __slots__ = (
@@ -39,10 +40,10 @@
         "_link",
         "_loads",
         "_merging",
-        "_milliseconds",
+        "_durations_ms",
         "_parts",
-        "_telling",
-        "_timer",
+        "_flush_timer",
+        "_merge_timer",
     )
 
     def __init__(
@@ -54,12 +55,12 @@
         self._done = done
         self._calls: dict[str, _Call] = {}
         self._parts = PartSet(batch.top)
-        self._milliseconds: list[int] = []
+        self._durations_ms: list[int] = []
         self._loads: list[LoadReport | None] = []
         self._merging = True
         self._deadline = dispatch.loop.time() + batch.left
-        self._timer = None
-        self._telling = None
+        self._merge_timer = None
+        self._flush_timer = None
 
     @property
     def request_id(self) -> bytes:
@@ -69,31 +70,31 @@
     def start(self) -> None:
         """Make the calls."""
         loop = self._dispatch.loop
-        self._timer = loop.call_later(self._batch.merge_for, self._merge_over)
+        self._merge_timer = loop.call_later(self._batch.merge_for, self._end_merging)
         for call in self._batch.calls:
             replica = self._dispatch.fleet.get(call.searcher)
             if replica is None:
-                self._fail(call.shard, Verdict.NOT_SENT, 0, "searcher_not_known_there")
+                self._send_failure(call.shard, Verdict.NOT_SENT, 0, "searcher_not_known_there")
                 continue
             if not replica.is_in_service:
-                self._fail(call.shard, Verdict.NOT_SENT, 0, "searcher_not_in_service")
+                self._send_failure(call.shard, Verdict.NOT_SENT, 0, "searcher_not_in_service")
                 continue
             self._calls[call.shard] = _Call(self, call.shard, replica, loop.time())
         for call in list(self._calls.values()):
             self._dispatch.send(call.replica, call.call)
-        self._check()
+        self._check_completion()
 
     def end(self) -> None:
-        """Stop: nobody waits for the rest."""
-        self._timer.cancel()
-        if self._telling is not None:
-            self._telling.cancel()
+        """Cancel all pending calls."""
+        self._merge_timer.cancel()
+        if self._flush_timer is not None:
+            self._flush_timer.cancel()
         for call in self._calls.values():
             call.drop()
         self._calls.clear()
 
     def replied(self, shard: str, reply: Reply) -> None:
-        """Take in a searcher's reply."""
+        """Handle a searcher's reply."""
         names = self._dispatch.names
         verdict = judge(reply, names, self.request_id)
         call = self._calls.pop(shard)
@@ -103,75 +104,77 @@
         if load is not None:
             call.replica.reported(load, self._dispatch.loop.time())
         if verdict is not Verdict.ANSWERED:
-            self._fail(shard, verdict, reply.status, f"status_{reply.status}")
+            self._send_failure(shard, verdict, reply.status, f"status_{reply.status}")
         elif self._parts.add(shard, reply.header(names.proof), reply.body):
             passed = self._dispatch.loop.time() - call.started
-            self._milliseconds.append(round(passed * 1000))
+            self._durations_ms.append(round(passed * 1000))
             self._loads.append(load)
         else:
-            self._fail(shard, Verdict.UNKNOWN, 0, "signature_of_another_shard")
-        self._check()
+            self._send_failure(shard, Verdict.UNKNOWN, 0, "signature_of_another_shard")
+        self._check_completion()
 
-    def broke(self, shard: str, error: Exception, *, sent: bool) -> None:
-        """Take in that a call gets no reply."""
+    def call_failed(self, shard: str, error: Exception, *, sent: bool) -> None:
+        """Handle a call that failed without a reply."""
         del self._calls[shard]
-        self._fail(shard, judge_failure(error, sent=sent), 0, repr(error))
-        self._check()
+        self._send_failure(shard, judge_failure(error, sent=sent), 0, repr(error))
+        self._check_completion()
 
     def render(self, replica: Replica, chosen_at: float) -> bytes:
-        """Return the request to one searcher.
+        """Return the encoded request to a searcher.
 
         Args:
             replica: The searcher.
-            chosen_at: Monotonic second at which the call was taken in.
+            chosen_at: Monotonic time in seconds at which the batch was received.
         """
         tell_if_leaving(self._dispatch, replica, self.request_id, chosen_at)
         left = self._deadline - self._dispatch.loop.time()
         names = self._dispatch.names
         return render_call(self._batch.head, self._batch.body, names, replica.searcher.id, left)
 
-    def _fail(self, shard: str, verdict: Verdict, status: int, reason: str) -> None:
+    def _send_failure(self, shard: str, verdict: Verdict, status: int, reason: str) -> None:
         failure = BatchFailure(self._batch.number, shard, verdict.value, status, reason)
         self._link.send(failure)
 
-    def _merge_over(self) -> None:
+    def _end_merging(self) -> None:
         self._merging = False
-        self._tell()
+        self._send_parts()
 
-    def _check(self) -> None:
+    def _check_completion(self) -> None:
         if not self._calls:
-            self._timer.cancel()
-            self._tell()
+            self._merge_timer.cancel()
+            self._send_parts()
             self._done()
-        elif not self._merging and self._telling is None:
+        elif not self._merging and self._flush_timer is None:
             later = self._dispatch.loop.call_later
-            self._telling = later(_GATHER_SHARE * self._batch.merge_for, self._tell)
-
-    def _tell(self) -> None:
-        if self._telling is not None:
-            self._telling.cancel()
-            self._telling = None
-        if not self._milliseconds:
+            self._flush_timer = later(
+                _LATE_MERGE_FRACTION * self._batch.merge_for, self._send_parts
+            )
+
+    def _send_parts(self) -> None:
+        if self._flush_timer is not None:
+            self._flush_timer.cancel()
+            self._flush_timer = None
+        if not self._durations_ms:
             return
         parts = self._parts
         frame = BatchParts(
-            self._batch.number, parts.by_shard, self._milliseconds, parts.merged(), self._loads
+            self._batch.number, parts.by_shard, self._durations_ms, parts.merged(), self._loads
         )
         self._link.send(frame)
-        self._parts, self._milliseconds, self._loads = PartSet(self._batch.top), [], []
+        self._parts, self._durations_ms, self._loads = PartSet(self._batch.top), [], []
 
 
 class _Call:
-    """One call of a batch that this instance works on."""
+    """One call of a batch that this instance executes."""
 
-    __slots__ = ("_number", "_shard", "_worked", "call", "replica", "started")
+    __slots__ = ("_number", "_shard", "_batch_work", "call", "replica", "started")
 
     _numbers = itertools.count(-1, -1)
 
     def __init__(self, worked: WorkedBatch, shard: str, replica: Replica, now: float) -> None:
-        self._worked = worked
+        self._batch_work = worked
         self._shard = shard
-        # Negative, so that it differs from the numbers of this instance's own sends.
+        # Negative, to be distinct from the numbers of this instance's own sends.
         self._number = next(self._numbers)
         self.replica = replica
         self.started = now
@@ -179,20 +182,20 @@
         self.call = Call(
             lambda: worked.render(replica, now),
             self._replied,
-            self._broke,
+            self._failed,
             head=False,
             request_id=worked.request_id,
         )
 
     def drop(self) -> None:
-        """Want no reply any more."""
+        """Cancel the call."""
         self.replica.in_flight.pop(self._number, None)
         self.call.cancel()
 
     def _replied(self, reply: Reply) -> None:
         self.replica.in_flight.pop(self._number, None)
-        self._worked.replied(self._shard, reply)
+        self._batch_work.replied(self._shard, reply)
 
-    def _broke(self, error: Exception) -> None:
+    def _failed(self, error: Exception) -> None:
         self.replica.in_flight.pop(self._number, None)
-        self._worked.broke(self._shard, error, sent=self.call.sent)
+        self._batch_work.call_failed(self._shard, error, sent=self.call.sent)
--- a/packages/limpethollow-node/src/limpethollow_node/engine/request/carriers.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/request/carriers.py
@@ -1,4 +1,4 @@
-"""Gathers the first sends of a search by failure domain, for instances there to make."""
+"""Groups the first sends of a search into batches by failure domain."""
 
 import math
 from collections.abc import Callable
@@ -11,38 +11,39 @@
 from limpethollow_node.engine.request.sends import Send
 from limpethollow_policy.request.verdicts import Verdict
 
-# An instance that makes fewer calls than a search has shards in this part of the objective hands
-# all of them on, and to more than one other in a failure domain where one would take as long. The
-# rest of the objective is for the searchers, their pauses and the way.
-_CALLING_SHARE = 0.1
-# Part of the time until the hedges that an instance may collect results. The rest is for its frame
-# to come back, so that only shards that are late there are hedged here.
-_MERGE_SHARE = 0.85
+# Fraction of the objective in which an instance should be able to make all calls of a search. An
+# instance that can't delegates all of them, and spreads them over several instances of a failure
+# domain where one would take too long as well. The rest of the objective is for the searchers,
+# their pauses and the network.
+_CALLING_FRACTION = 0.1
+# Fraction of the hedge delay for which an instance collects the results of a batch. The rest is for
+# its frame to arrive, so that only shards that are late there are hedged here.
+_MERGE_FRACTION = 0.85
 
 OnGroup = Callable[[dict[str, bytes], bytes], None]
 
 
 class ShardCarrier:
-    """Takes over first sends to other failure domains and hands them on in batches.
+    """Takes over first sends to other failure domains and delegates them in batches.
 
-    An instance with little processor hands on those in its own failure domain as well. On 0.12 of a
-    core, 29 of 87 calls that it made itself took some 17 of 120 ms, and two frames there and back 4
-    (clocks put into the code for a play).
+    An instance with little CPU also delegates the sends to its own failure domain. On 0.12 of a
+    core, making 29 of 87 calls itself took about 17 of 120 ms, and two pairs of frames took 4 ms
+    (measured with timers added to the code).
 
     Args:
-        dispatch: What the process shares.
-        desk: Sends batches.
+        dispatch: State shared by the process.
+        desk: Sends the batches.
         outgoing: The request.
         on_group: Called with signatures by shard and their merged records, before the sends of
-            these shards are told.
+            these shards are completed.
     """
 
     __slots__ = (
         "_by_domain",
-        "_calls_at_once",
+        "_max_calls",
         "_desk",
         "_dispatch",
-        "_keeps_near_ones",
+        "_makes_local_calls",
         "_on_group",
         "_outgoing",
         "_sends",
@@ -60,19 +61,19 @@
         self._sends: dict[str, Send] = {}
         self._sent: list[SentBatch] = []
         route = outgoing.route
-        self._calls_at_once = dispatch.own_pace.calls_within(_CALLING_SHARE * route.objective)
-        self._keeps_near_ones = len(route.shards) <= self._calls_at_once
+        self._max_calls = dispatch.own_pace.calls_within(_CALLING_FRACTION * route.objective)
+        self._makes_local_calls = len(route.shards) <= self._max_calls
 
     def offer(self, send: Send) -> bool:
-        """Take over a send to another failure domain, or one that would take too long here."""
+        """Take over a send to another failure domain, or any send if this instance is too slow."""
         domain = send.replica.searcher.failure_domain
-        if domain == self._dispatch.fleet.own_domain and self._keeps_near_ones:
+        if domain == self._dispatch.fleet.own_domain and self._makes_local_calls:
             return False
         self._by_domain.setdefault(domain, []).append(send)
         return True
 
     def flush(self) -> None:
-        """Hand the sends on; where too few go to a failure domain, make them here."""
+        """Delegate the sends in batches; make them directly where a failure domain has too few."""
         for domain, sends in self._by_domain.items():
             sends = [send for send in sends if send.is_open]
             links = self._links_for(domain, len(sends))
@@ -84,14 +85,14 @@
         self._by_domain.clear()
 
     def _links_for(self, domain: str, calls: int) -> list[PeerLink]:
-        """Return links to the instances that share the calls to a failure domain."""
+        """Return links to the instances over which the calls to a failure domain are spread."""
         if calls < LEAST_CALLS:
             return []
-        wanted = min(math.ceil(calls / self._calls_at_once), calls // LEAST_CALLS)
+        wanted = min(math.ceil(calls / self._max_calls), calls // LEAST_CALLS)
         return self._desk.links_near(domain, max(wanted, 1))
 
     def suspect_silent(self) -> None:
-        """Tell the desk which instances have not said anything until the hedges."""
+        """Report the instances that returned nothing until the hedge delay."""
         for sent in self._sent:
             if sent.silent:
                 self._desk.suspect(sent)
@@ -110,31 +111,31 @@
                 calls,
                 outgoing.route.top,
                 outgoing.deadline - now,
-                outgoing.timings.hedge_delay * _MERGE_SHARE,
+                outgoing.timings.hedge_delay * _MERGE_FRACTION,
                 now,
             )
 
-        sent = self._desk.send(link, frame, self._parts_came, self._call_failed)
+        sent = self._desk.send(link, frame, self._on_parts, self._on_call_failed)
         self._sent.append(sent)
         for send in sends:
             self._sends[send.service] = send
             send.call = CarriedCall(sent, send.service)
 
-    def _parts_came(self, parts: BatchParts) -> None:
+    def _on_parts(self, parts: BatchParts) -> None:
         self._on_group(parts.proofs, parts.records)
         for shard, seconds, load in parts.calls:
-            self._sends[shard].carried(seconds, load)
+            self._sends[shard].delegated_call_answered(seconds, load)
 
-    def _call_failed(self, shard: str, verdict: Verdict, status: int, reason: str) -> None:
-        self._sends[shard].carried_failed(verdict, status, reason)
+    def _on_call_failed(self, shard: str, verdict: Verdict, status: int, reason: str) -> None:
+        self._sends[shard].delegated_call_failed(verdict, status, reason)
 
 
 class CarriedCall:
-    """Stands for a call that another instance makes.
+    """A call that was delegated to another instance.
 
     Args:
         sent: The batch that the call is part of.
-        shard: The call's shard.
+        shard: Shard of the call.
     """
 
     __slots__ = ("_sent", "_shard", "sent")
@@ -145,5 +146,5 @@
         self.sent = True
 
     def cancel(self) -> None:
-        """Want no reply any more."""
+        """Cancel the call."""
         self._sent.drop(self._shard)
--- a/packages/limpethollow-node/src/limpethollow_node/engine/request/forwards.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/request/forwards.py
@@ -1,4 +1,4 @@
-"""A request that one searcher answers; its reply goes back unchanged."""
+"""Forwarding of a request to one searcher, whose reply is returned unchanged."""
 
 from limpethollow_node.engine.connection.callers import Exchange, error_reply
 from limpethollow_node.engine.messages import Reply, end_to_end
@@ -11,22 +11,22 @@
 from limpethollow_policy.request.verdicts import Verdict, may_pass_on
 from limpethollow_wire.exceptions import AnswerLate, LimpethollowError, NoUsableReply, Unavailable
 
-# Seconds after which a caller may come back: when searchers refused, one of them has a free slot
-# after about one request; without any searcher, a new one registers within a heartbeat or so.
+# `Retry-After` values in seconds. A searcher that refused a request has a free slot after about the
+# duration of one request; if there is no searcher, a new one registers within about a heartbeat.
 _RETRY_WHEN_FULL = 0.2
 _RETRY_WITHOUT_SEARCHER = 0.5
 
 
 class Forward:
-    """Sends a request to a searcher and hands back what it says.
+    """Sends a request to a searcher and returns its reply to the caller.
 
     Args:
-        dispatch: What the process shares.
+        dispatch: State shared by the process.
         exchange: The caller's request.
-        outgoing: The request as it is sent on.
+        outgoing: The request as it is sent to searchers.
         service: The service that serves it.
-        admission: Is told how the request fares.
-        log: Where the outcome is told.
+        admission: Is notified of the progress of the request.
+        log: Called with the outcome.
     """
 
     __slots__ = ("_admission", "_dispatch", "_exchange", "_log", "_outgoing", "_timers", "_tries")
@@ -46,11 +46,11 @@
         self._outgoing = outgoing
         self._log = log
         self._timers: list = []
-        self._tries = Tries(dispatch, outgoing, service, self._done)
+        self._tries = Tries(dispatch, outgoing, service, self._on_done)
 
     def start(self) -> None:
-        """Make the first send and set the times at which the request is looked at again."""
-        self._exchange.on_gone = self._gone
+        """Make the first send and start the timers for hedge, objective and deadline."""
+        self._exchange.on_gone = self._on_disconnect
         loop = self._dispatch.loop
         self._timers = [
             loop.call_at(self._outgoing.answer_by, self._admission.due),
@@ -62,14 +62,17 @@
         self._tries.start()
 
     def cut_off(self) -> None:
-        """Give up because this instance reaches nobody, if the caller may repeat the request."""
+        """Fail the request if it is idempotent, because this instance is isolated."""
         if self._outgoing.route.idempotent:
             self._tries.abandon()
-            error = NoUsableReply("This instance is cut off.", retry_after=RETRY_ELSEWHERE)
+            error = NoUsableReply(
+                "This instance is isolated from peers and searchers.",
+                retry_after=RETRY_ELSEWHERE,
+            )
             self._fail(error, "isolated")
 
     def end_now(self) -> None:
-        """Answer because this instance stops; the request is not run unless it was sent."""
+        """Fail the request because this instance stops; it may have run only if it was sent."""
         kind = NoUsableReply if self._tries.may_have_run else Unavailable
         self._tries.abandon()
         self._fail(kind(STOPPING, retry_after=RETRY_ELSEWHERE), "stopping")
@@ -78,51 +81,51 @@
         if self._tries.hedge():
             self._tries.log_again("hedge")
 
-    def _done(self, tries: Tries) -> None:
+    def _on_done(self, tries: Tries) -> None:
         if tries.verdict is Verdict.ANSWERED:
             self._admission.answered()
-            self._pass_on(tries.reply, "answered")
-        elif tries.reply is not None and self._may_pass_on(tries.reply):
-            self._pass_on(tries.reply, "searcher_failed")
+            self._relay(tries.reply, "answered")
+        elif tries.reply is not None and self._may_relay(tries.reply):
+            self._relay(tries.reply, "searcher_failed")
         elif tries.may_have_run:
             error = NoUsableReply(
-                "The searcher gave no usable reply.", retry_after=_RETRY_WHEN_FULL
+                "The searcher sent no usable reply.", retry_after=_RETRY_WHEN_FULL
             )
             self._fail(error, tries.reason)
         elif tries.verdict is Verdict.NOT_RUN:
             if tries.found_full:
                 self._admission.full()
             error = Unavailable(
-                "All searchers that were asked are full.", retry_after=_RETRY_WHEN_FULL
+                "All searchers that were tried are at capacity.", retry_after=_RETRY_WHEN_FULL
             )
             self._fail(error, tries.reason)
         else:
-            error = Unavailable("No searcher can be reached.", retry_after=_RETRY_WITHOUT_SEARCHER)
+            error = Unavailable("No searcher is reachable.", retry_after=_RETRY_WITHOUT_SEARCHER)
             self._fail(error, tries.reason)
 
-    def _may_pass_on(self, reply: Reply) -> bool:
+    def _may_relay(self, reply: Reply) -> bool:
         return may_pass_on(reply.status, idempotent=self._outgoing.route.idempotent)
 
-    def _pass_on(self, reply: Reply, reason: str) -> None:
-        self._stop()
+    def _relay(self, reply: Reply, reason: str) -> None:
+        self._release()
         self._exchange.respond(Reply(reply.status, end_to_end(reply.headers), reply.body))
         self._report(reply.status, reason)
 
     def _fail(self, error: LimpethollowError, reason: str) -> None:
-        self._stop()
+        self._release()
         self._exchange.respond(error_reply(error))
         self._report(error.status, reason)
 
     def _deadline_passed(self) -> None:
         self._tries.abandon()
-        self._fail(AnswerLate("The searcher did not answer in time."), "deadline")
+        self._fail(AnswerLate("The searcher did not reply before the deadline."), "deadline")
 
-    def _gone(self) -> None:
-        self._stop()
+    def _on_disconnect(self) -> None:
+        self._release()
         self._tries.abandon()
         self._report(0, "caller_gone")
 
-    def _stop(self) -> None:
+    def _release(self) -> None:
         for timer in self._timers:
             timer.cancel()
         self._outgoing.guard.close()
--- a/packages/limpethollow-node/src/limpethollow_node/engine/request/judging.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/request/judging.py
@@ -1,4 +1,4 @@
-"""Reads a searcher's reply for what it proves."""
+"""Evaluates what a searcher's reply, or its absence, proves about a request."""
 
 from limpethollow_node.engine.connection.clients import LostConnection
 from limpethollow_node.engine.messages import HeaderNames, Reply
@@ -9,7 +9,7 @@
 
 
 def judge(reply: Reply, names: HeaderNames, request_id: bytes) -> Verdict:
-    """Return what a whole reply proves about a request.
+    """Return the verdict on a request from a complete reply.
 
     Args:
         reply: The reply.
@@ -26,11 +26,11 @@
 
 
 def judge_failure(error: Exception, *, sent: bool) -> Verdict:
-    """Return what is known of a request that gets no whole reply.
+    """Return the verdict on a request without a complete reply.
 
     Args:
-        error: Why there is none.
-        sent: Whether bytes of the request went out.
+        error: The error that occurred instead.
+        sent: Whether bytes of the request were sent.
     """
     if not sent:
         return Verdict.NOT_SENT
@@ -38,7 +38,7 @@
 
 
 def read_load(reply: Reply, names: HeaderNames) -> LoadReport | None:
-    """Return what a searcher says of its load with a reply; None where it says nothing of use."""
+    """Return the load report in a reply; None if it is missing or can't be decoded."""
     value = reply.header(names.load)
     if value is None:
         return None
@@ -50,14 +50,14 @@
 
 
 def render_call(head: bytes, body: bytes, names: HeaderNames, searcher: str, left: float) -> bytes:
-    """Return a request to one searcher as it is sent.
+    """Return the encoded request to a searcher.
 
     Args:
-        head: Request line and headers, without those that differ between calls.
+        head: Request line and headers, without the headers that differ between calls.
         body: The request's body.
         names: The deployment's header names.
-        searcher: Id of the searcher, the only one that shall run the request.
-        left: Seconds until nobody waits for the reply.
+        searcher: Id of the searcher, the only one that may run the request.
+        left: Seconds until the reply is no longer awaited.
     """
     return b"%b%b: %b\r\n%b: %d\r\n\r\n%b" % (
         head,
--- a/packages/limpethollow-node/src/limpethollow_node/engine/request/leaving.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/request/leaving.py
@@ -1,4 +1,4 @@
-"""Tells of calls that go to searchers which are known to be leaving."""
+"""Reports calls to searchers that are known to be draining or unregistered."""
 
 from limpethollow_node.engine.process.dispatch import Dispatch
 from limpethollow_node.process import events
@@ -8,13 +8,13 @@
 def tell_if_leaving(
     dispatch: Dispatch, replica: Replica, request_id: bytes, chosen_at: float
 ) -> None:
-    """Log and count a call whose searcher drains, or has no entry, as its bytes go out.
+    """Log and count a call if its searcher drains, or has no entry, when the call is sent.
 
     Args:
-        dispatch: What the process shares.
+        dispatch: State shared by the process.
         replica: The searcher.
         request_id: The caller's id for the request.
-        chosen_at: Monotonic second at which the searcher was chosen.
+        chosen_at: Monotonic time in seconds at which the searcher was chosen.
     """
     if replica.leaving_since is None:
         return
--- a/packages/limpethollow-node/src/limpethollow_node/engine/request/outcomes.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/request/outcomes.py
@@ -1,4 +1,4 @@
-"""How a caller's request ended, as logs and metrics tell it."""
+"""The outcome of a caller's request, for logs and metrics."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -6,16 +6,16 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """The end of one request.
+    """The outcome of one request.
 
     Attributes:
-        status: Status that the caller got; 0 where it was gone.
-        reason: Why the request ended as it did.
-        parts: Shards in a search's answer.
-        missing: For each shard left out: its service, why, and the searchers that were asked.
+        status: Status that was sent to the caller; 0 if the caller had disconnected.
+        reason: Cause of the outcome.
+        parts: Number of shards included in a search reply.
+        missing: For each missing shard: its service, the reason, and the searchers called.
         searchers: Searchers that a forwarded request was sent to.
-        hedges: Second sends made because the first was late.
-        lost: Searchers whose connection ended under the request, before any byte of a reply.
+        hedges: Number of hedged sends, made because the first one was late.
+        lost: Searchers whose connection closed during the request, before the first reply byte.
     """
 
     status: int
--- a/packages/limpethollow-node/src/limpethollow_node/engine/request/outgoing.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/request/outgoing.py
@@ -1,4 +1,4 @@
-"""A caller's request as it is sent on to searchers."""
+"""A caller's request as it is sent to searchers."""
 
 from dataclasses import dataclass
 
@@ -16,26 +16,27 @@
 from limpethollow_policy.version.routes import Route
 from limpethollow_wire.exceptions import BadRequest
 
-# Taken for the round trip to a caller where the system measures none: two ways of 3 ms, as on the
-# users' sheets.
-_USUAL_ROUND_TRIP = 0.006
+# Round-trip time to a caller in seconds if the kernel provides none: twice the one-way delay of
+# 3 ms that the users specify.
+_DEFAULT_ROUND_TRIP = 0.006
 
 
 @dataclass(slots=True)
 class Outgoing:
-    """What the sends of one caller's request have in common.
+    """The state shared by all sends of a caller's request.
 
     Attributes:
-        head: Request line and headers, without those that differ between sends.
+        head: Request line and headers, without the headers that differ between sends.
         body: The request's body.
         request_id: The caller's id for the request.
-        deadline: Monotonic second at which the last answer must leave to find its caller waiting.
-        answer_by: Monotonic second at which an answer must leave to come within the objective.
-        in_time: Whether a usual call fits into the time until then.
+        deadline: Monotonic time in seconds by which a reply must be sent to reach the caller before
+            it stops waiting.
+        answer_by: Monotonic time in seconds by which a reply must be sent to meet the objective.
+        in_time: Whether a call of typical duration fits into the time until `answer_by`.
         route: The route.
-        timings: The route's timings.
+        timings: Timings of the route.
         is_head: Whether the method is HEAD.
-        guard: Keeps the request from ending one searcher after the other.
+        guard: Prevents the request from crashing one searcher after another.
     """
 
     head: bytes
@@ -51,16 +52,16 @@
 
     @classmethod
     def of(cls, exchange: Exchange, route: Route, dispatch: Dispatch) -> "Outgoing":
-        """Prepare a caller's request to be sent on.
+        """Prepare a caller's request for sending.
 
         Args:
             exchange: The request.
             route: Its route.
-            dispatch: What the process shares.
+            dispatch: State shared by the process.
 
         Raises:
-            BadRequest: There is no id, or the time that the caller has left is no number.
-            Quarantined: Searchers ended under earlier tries of the request.
+            BadRequest: The id is missing, or the time left is not a number.
+            Quarantined: Earlier attempts of the request crashed searchers.
         """
         names = dispatch.names
         request, arrived = exchange.request, exchange.arrived_at
@@ -68,7 +69,7 @@
         guard = dispatch.quarantines.guard(request.fingerprint)
         timings = dispatch.timings(route)
         left = _time_left(request, names)
-        way = exchange.round_trip or _USUAL_ROUND_TRIP
+        way = exchange.round_trip or _DEFAULT_ROUND_TRIP
         connect = way if exchange.is_first else 0.0
         spent = timings.patience.spent(left, connect, route.timeout, way)
         way += dispatch.own_delay.allowance
@@ -92,25 +93,25 @@
 
     @property
     def id_text(self) -> str:
-        """Return the caller's id for the request as logs show it."""
+        """Return the request id as text for logs."""
         return self.request_id.decode("latin-1")
 
 
 def _request_id(request: Request, names: HeaderNames) -> bytes:
-    """Return the caller's id for a request; without one, nothing tells its replies apart."""
+    """Return the request id, which is required to match replies to requests."""
     request_id = request.header(names.request_id)
     if not request_id:
         raise BadRequest(
-            f"The request has no id. Give each attempt its own in {names.request_id.decode()}."
+            f"The request has no id. Set a unique {names.request_id.decode()} for each attempt."
         )
     return request_id
 
 
 def _time_left(request: Request, names: HeaderNames) -> float | None:
-    """Return the seconds that the caller will still wait; None where it doesn't say."""
+    """Return the seconds until the caller stops waiting; None if it doesn't say."""
     stated = request.header(names.time_left)
     if stated is None:
         return None
     if not stated.isdigit():
-        raise BadRequest("The time left is no whole number of milliseconds.")
+        raise BadRequest(f"{names.time_left.decode()} is not a whole number of milliseconds.")
     return int(stated) / 1000
--- a/packages/limpethollow-node/src/limpethollow_node/engine/request/searches.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/request/searches.py
@@ -1,4 +1,4 @@
-"""A search: one call to each shard, merged into one labelled answer."""
+"""A search: calls to all shards, merged into one reply that states how many are missing."""
 
 from collections.abc import Sequence
 
@@ -17,36 +17,36 @@
 from limpethollow_policy.request.verdicts import Verdict
 from limpethollow_wire.exceptions import AnswerLate, LimpethollowError, NoUsableReply, Unavailable
 
-# Most shards of one search that get a second send, as a share. Where more are late, the instance or
-# the whole service is slow, and second sends would only add to that.
-_MOST_HEDGED = 0.5
-# Where second sends were withheld, the search looks again after this share of the hedge delay. Many
-# shards look late for a moment when the frame of another instance is: it collects parts until
-# shortly before.
-_LOOK_AGAIN_SHARE = 0.25
+# Maximum fraction of a search's shards that are hedged. If more are late, the instance or the whole
+# service is slow, and hedges would only add load.
+_MAX_HEDGED_FRACTION = 0.5
+# If hedges were withheld, the search checks again after this fraction of the hedge delay. Many
+# shards look late for a moment when the frame of a delegated batch is late, since the other
+# instance collects parts until shortly before the hedge delay.
+_RECHECK_FRACTION = 0.25
 _RETRY_AFTER = 0.25
-# Bounds of what a caller is told where it is known when a shard can get a call. Callers come back
-# within a third of the time that they have left, which is 0.25 to 0.5 s of the users' 0.8 to 1.5 s.
-_RETRY_SOON, _RETRY_LATE = 0.05, 0.5
-# A caller that goes to another instance need not wait.
+# Bounds of `Retry-After` in seconds when it is known when enough shards can be called. Callers
+# retry within a third of their remaining time, which is 0.25 to 0.5 s of the users' 0.8 to 1.5 s.
+_MIN_RETRY_AFTER, _MAX_RETRY_AFTER = 0.05, 0.5
+# A caller that retries at another instance need not wait.
 RETRY_ELSEWHERE = 0.02
-# What callers are told by an instance that ends.
-STOPPING = "This instance is stopping; the others are not."
+# Error message of an instance that is shutting down.
+STOPPING = "This instance is shutting down. Retry at another instance."
 
 
 class Search:
-    """Asks all shards, hedges the late ones, and answers when waiting stops being worth it.
+    """Calls all shards, hedges the late ones, and replies at the latest useful time.
 
-    An answer with a part missing is worth more to a caller than a whole one after the objective,
-    so at the objective the answer goes out with what is there, if that is enough.
+    A partial result within the objective is worth more to a caller than a complete one after it.
+    At the objective, the search therefore replies with the parts it has, if they are enough.
 
     Args:
-        dispatch: What the process shares.
+        dispatch: State shared by the process.
         exchange: The caller's request.
-        outgoing: The request as it is sent on.
-        desk: Sends calls to instances near the searchers.
-        admission: Is told how many shards have answered.
-        log: Where the outcome is told.
+        outgoing: The request as it is sent to searchers.
+        desk: Delegates calls to instances in the searchers' failure domains.
+        admission: Is notified of the number of shards that have answered.
+        log: Called with the outcome.
     """
 
     __slots__ = (
@@ -54,14 +54,14 @@
         "_carrier",
         "_dispatch",
         "_exchange",
-        "_least_parts",
+        "_min_parts",
         "_log",
         "_outgoing",
         "_parts",
         "_pending",
         "_timers",
         "_tries",
-        "_waits_for_floor",
+        "_awaits_floor",
     )
 
     def __init__(
@@ -79,30 +79,30 @@
         self._outgoing = outgoing
         self._log = log
         self._parts = PartSet(outgoing.route.top)
-        self._least_parts = outgoing.route.least_parts
-        self._carrier = ShardCarrier(dispatch, desk, outgoing, self._group_came)
+        self._min_parts = outgoing.route.least_parts
+        self._carrier = ShardCarrier(dispatch, desk, outgoing, self._on_group)
         self._pending = len(outgoing.route.shards)
-        self._waits_for_floor = False
+        self._awaits_floor = False
         self._timers: list = []
         self._tries: list[Tries] = []
 
     def start(self) -> None:
-        """Send the calls and set the times at which the search is looked at again."""
-        self._exchange.on_gone = self._gone
+        """Send the calls and start the timers for hedges, the objective and the deadline."""
+        self._exchange.on_gone = self._on_disconnect
         begun = self._dispatch.clock()
         loop, shards = self._dispatch.loop, self._outgoing.route.shards
         now = loop.time()
         chosen = self._choose(shards, now)
         self._dispatch.budget.search(shards, now)
-        if len(shards) - chosen.count(None) < self._least_parts:
-            self._refuse(self._wait_for_floor(now))
+        if len(shards) - chosen.count(None) < self._min_parts:
+            self._refuse(self._time_until_floor(now))
             return
         self._timers = [
-            loop.call_at(self._outgoing.answer_by, self._objective_near),
-            loop.call_at(self._outgoing.deadline, self._deadline_passed),
+            loop.call_at(self._outgoing.answer_by, self._on_objective),
+            loop.call_at(self._outgoing.deadline, self._on_deadline),
         ]
         self._tries = [
-            Tries(self._dispatch, self._outgoing, shard, self._part_done, self._carrier)
+            Tries(self._dispatch, self._outgoing, shard, self._on_part_done, self._carrier)
             for shard in shards
         ]
         for tries, replica in zip(self._tries, chosen, strict=True):
@@ -112,64 +112,68 @@
         left_at = self._dispatch.clock()
         self._dispatch.own_pace.started(len(shards), left_at - begun)
         if self._timers:
-            # Starting 87 calls takes a weak instance 10 ms of the 36 after which they count as
-            # late, and to take in what comes back takes it as long again. Timed from the start,
-            # second sends went to shards that had just been asked, or whose parts lay unread.
+            # On an instance with little CPU, starting 87 calls takes 10 of the 36 ms after which
+            # they count as late, and processing the replies takes as long again. When the delay
+            # was measured from the start, hedges went to shards that had just been called, or whose
+            # replies were waiting to be read.
             hedge_at = left_at + self._outgoing.timings.hedge_delay + (left_at - begun)
             self._timers.append(loop.call_at(hedge_at, self._hedge))
 
     def cut_off(self) -> None:
-        """Give up because this instance reaches nobody; the caller may repeat the search."""
-        error = NoUsableReply("This instance is cut off.", retry_after=RETRY_ELSEWHERE)
+        """Fail the search because this instance is isolated; the caller may retry it."""
+        error = NoUsableReply(
+            "This instance is isolated from peers and searchers.",
+            retry_after=RETRY_ELSEWHERE,
+        )
         self._fail(error, "isolated")
 
     def end_now(self) -> None:
-        """Answer with what is there because this instance stops; fail below the floor."""
-        if len(self._parts) >= self._least_parts:
+        """Reply with the available parts because this instance stops; fail below the floor."""
+        if len(self._parts) >= self._min_parts:
             self._answer("stopping")
         else:
             self._fail(NoUsableReply(STOPPING, retry_after=RETRY_ELSEWHERE), "stopping")
 
     def _choose(self, shards: Sequence[str], now: float) -> list[Replica | None]:
-        """Return the searcher to ask first for each shard, None where none may be used."""
+        """Return the first searcher to call for each shard; None if none is available."""
         choose, usual = self._dispatch.fleet.choose, self._outgoing.timings.usual
         return [choose(shard, now, usual) for shard in shards]
 
-    def _wait_for_floor(self, now: float) -> float:
-        """Return in how many seconds enough shards can get a call."""
+    def _time_until_floor(self, now: float) -> float:
+        """Return the seconds until enough shards can be called to reach the coverage floor."""
         fleet = self._dispatch.fleet
         waits = sorted(fleet.wait(shard, now) for shard in self._outgoing.route.shards)
-        return waits[self._least_parts - 1]
+        return waits[self._min_parts - 1]
 
     def _refuse(self, wait: float) -> None:
-        """Too few shards can get a call: say so before any searcher has worked."""
+        """Fail because too few shards can be called, before any searcher does work."""
         error = Unavailable(
-            "Searchers of too many shards are full or can't be reached.",
-            retry_after=min(max(wait, _RETRY_SOON), _RETRY_LATE),
+            "Too many shards have no searcher that is reachable and below capacity.",
+            retry_after=min(max(wait, _MIN_RETRY_AFTER), _MAX_RETRY_AFTER),
         )
         self._fail(error, "too_few_shards")
 
-    def _part_done(self, tries: Tries) -> None:
+    def _on_part_done(self, tries: Tries) -> None:
         self._pending -= 1
-        # An answer without a reply of its own is part of a group, which came before it.
+        # A part without a reply of its own was already added with its group.
         if tries.verdict is Verdict.ANSWERED and tries.reply is not None:
             proof = tries.reply.header(self._dispatch.names.proof)
             self._parts.add(tries.service, proof, tries.reply.body)
-        self._decide()
+        self._check_completion()
 
-    def _group_came(self, proofs: dict[str, bytes], body: bytes) -> None:
+    def _on_group(self, proofs: dict[str, bytes], body: bytes) -> None:
         if self._timers:
             self._parts.add_group(proofs, body)
 
-    def _decide(self) -> None:
+    def _check_completion(self) -> None:
         if not self._timers:
             return
         self._admission.came(len(self._parts))
-        settled = self._pending == 0 or self._waits_for_floor
-        if settled and len(self._parts) >= self._least_parts:
-            self._answer("late" if self._waits_for_floor else "whole")
+        settled = self._pending == 0 or self._awaits_floor
+        if settled and len(self._parts) >= self._min_parts:
+            self._answer("late" if self._awaits_floor else "whole")
         elif (
-            len(self._parts) + self._pending < self._least_parts
+            len(self._parts) + self._pending < self._min_parts
             or self._outgoing.guard.is_quarantined
         ):
             self._give_up()
@@ -177,15 +181,18 @@
     def _hedge(self) -> None:
         self._carrier.suspect_silent()
         late = [tries for tries in self._tries if not tries.done]
-        if len(late) > max(2, _MOST_HEDGED * len(self._tries)):
+        if len(late) > max(2, _MAX_HEDGED_FRACTION * len(self._tries)):
             self._dispatch.metrics.count("hedges_withheld")
-            again = _LOOK_AGAIN_SHARE * self._outgoing.timings.hedge_delay
+            again = _RECHECK_FRACTION * self._outgoing.timings.hedge_delay
             self._timers.append(self._dispatch.loop.call_later(again, self._hedge))
             return
         self._log_hedges([tries for tries in late if tries.hedge()])
 
     def _log_hedges(self, hedged: list[Tries]) -> None:
-        """Tell of all shards at once: a line each took a weak instance as long as the sends."""
+        """Log all hedged shards in one line.
+
+        With one line per shard, logging took an instance with little CPU as long as the sends.
+        """
         if not hedged:
             return
         now, budget = self._dispatch.loop.time(), self._dispatch.budget
@@ -196,33 +203,33 @@
             least_room=round(min(budget.room(tries.service, now) for tries in hedged), 1),
         )
 
-    def _objective_near(self) -> None:
+    def _on_objective(self) -> None:
         self._dispatch.own_delay.add(self._dispatch.clock() - self._outgoing.answer_by)
         self._admission.over(len(self._parts))
-        if len(self._parts) >= self._least_parts:
+        if len(self._parts) >= self._min_parts:
             self._answer("objective")
         else:
-            self._waits_for_floor = True
+            self._awaits_floor = True
 
-    def _deadline_passed(self) -> None:
-        if len(self._parts) >= self._least_parts:
-            # A caller that comes back may have less time left than the objective.
+    def _on_deadline(self) -> None:
+        if len(self._parts) >= self._min_parts:
+            # The remaining time of a retried search may be shorter than the objective.
             self._answer("little_time")
             return
-        self._fail(AnswerLate("Too few shards answered in time."), "deadline")
+        self._fail(AnswerLate("Too few shards answered before the deadline."), "deadline")
 
     def _give_up(self) -> None:
-        """Too many shards can't answer any more: say so now instead of at the deadline."""
+        """Fail now instead of at the deadline, because too many shards can no longer answer."""
         self._admission.over(len(self._parts))
         if any(tries.may_have_run for tries in self._tries):
-            # A quarantined one will be refused when it comes back.
+            # A quarantined request would be refused when retried.
             retry_after = None if self._outgoing.guard.is_quarantined else _RETRY_AFTER
             error: LimpethollowError = NoUsableReply(
-                "Too many shards gave no usable reply.", retry_after=retry_after
+                "Too many shards sent no usable reply.", retry_after=retry_after
             )
         else:
             error = Unavailable(
-                "No searcher of too many shards can be reached.", retry_after=_RETRY_AFTER
+                "Too many shards have no reachable searcher.", retry_after=_RETRY_AFTER
             )
         self._fail(error, "floor_out_of_reach")
 
@@ -240,21 +247,21 @@
         if self._outgoing.request_id is not None:
             headers.append((names.request_id, self._outgoing.request_id))
         reply = Reply(200, headers, self._parts.merged())
-        self._stop()
+        self._release()
         self._exchange.respond(reply)
         self._dispatch.own_delay.worked(self._dispatch.clock() - begun)
         self._report(200, reason)
 
     def _fail(self, error: LimpethollowError, reason: str) -> None:
-        self._stop()
+        self._release()
         self._exchange.respond(error_reply(error))
         self._report(error.status, reason)
 
-    def _gone(self) -> None:
-        self._stop()
+    def _on_disconnect(self) -> None:
+        self._release()
         self._report(0, "caller_gone")
 
-    def _stop(self) -> None:
+    def _release(self) -> None:
         for timer in self._timers:
             timer.cancel()
         self._timers = []
--- a/packages/limpethollow-node/src/limpethollow_node/engine/request/sends.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/request/sends.py
@@ -1,4 +1,4 @@
-"""One send of a request to one searcher."""
+"""A single send of a request to one searcher."""
 
 import itertools
 from typing import Protocol
@@ -13,24 +13,25 @@
 from limpethollow_policy.process.searchers import Replica
 from limpethollow_policy.request.verdicts import Verdict
 
-# A searcher whose address belongs to another one now is left alone this long. Its entry lapses some
-# four seconds after its end, and one with a new address is another searcher here. Each call until
-# then would count as one too many at the service that has the address.
+# Seconds for which a searcher is not called after its address was found to belong to another one.
+# Its entry expires about four seconds after its end, and an entry with a new address counts as
+# another searcher. Until then, each call would be an excess call to the service that now has the
+# address.
 _MISDIRECTED_BLOCK = 10.0
 _MISDIRECTED = 421
-# Deadlines that are noticed later than this were missed by this instance itself, which was frozen
-# or starved; that says nothing of a searcher.
-_AWAKE_SECONDS = 0.2
+# A deadline that is handled later than this was missed because this instance was frozen or short of
+# CPU, so it is not counted against the searcher.
+_MAX_TIMER_DELAY = 0.2
 
 
-# A call that was given up on counts as one that would have taken this many times its age. It lost
-# to a second send, so its age alone says "a little slow" even of a searcher that takes ten times as
-# long, and that one is chosen again.
-_LOST_AGES = 2.0
+# The duration of an abandoned call is estimated as this multiple of its age. A call that lost
+# against a hedge is only a little older than usual even at a searcher that takes ten times as long,
+# which would then be chosen again.
+_ABANDONED_AGE_FACTOR = 2.0
 
 
 class SendOwner(Protocol):
-    """What makes sends and takes in how they end.
+    """The object that creates sends and handles their outcomes.
 
     Attributes:
         dispatch: What the process shares.
@@ -43,33 +44,33 @@
     service: str
 
     def ended(self, send: "Send", verdict: Verdict, reply: Reply | None, reason: str) -> None:
-        """Take in the end of a send."""
+        """Handle the outcome of a send."""
 
     def is_under_way(self, send: "Send") -> bool:
         """Return whether an outcome of the send still counts."""
 
 
 class OpenCall(Protocol):
-    """A call to a searcher, made here or by another instance.
+    """A pending call to a searcher, made by this or another instance.
 
     Attributes:
-        sent: Whether it has left this instance.
+        sent: Whether it has been sent by this instance.
     """
 
     sent: bool
 
     def cancel(self) -> None:
-        """Want no reply any more."""
+        """Cancel the call."""
 
 
 class Send:
-    """One send to one searcher.
+    """A send to one searcher.
 
     Attributes:
         replica: The searcher.
-        started: Monotonic second at which the searcher was chosen.
-        call: The call; None until `go`, or until another instance is asked to make it.
-        on_trial: Whether it shows if the request ends its searchers.
+        started: Monotonic time in seconds at which the searcher was chosen.
+        call: The call; None until `go`, or until it is delegated to another instance.
+        on_trial: Whether it is a trial of whether the request crashes searchers.
     """
 
     __slots__ = ("_number", "_owner", "call", "on_trial", "replica", "started")
@@ -89,7 +90,7 @@
         replica.sent(now)
 
     def go(self) -> None:
-        """Make the call from here."""
+        """Make the call directly from this instance."""
         outgoing = self._owner.outgoing
         call = Call(
             self._render,
@@ -114,34 +115,35 @@
 
     @property
     def has_left(self) -> bool:
-        """Return whether the request may be on its way to the searcher."""
+        """Return whether the request may have been sent to the searcher."""
         return self.call is not None and self.call.sent
 
-    def carried(self, seconds: float, load: LoadReport | None) -> None:
-        """Take in that another instance made the call, and has merged the answer with others.
+    def delegated_call_answered(self, seconds: float, load: LoadReport | None) -> None:
+        """Handle the result of a delegated call, which was merged with others.
 
         Args:
-            seconds: How long the searcher took. Until the merged answer is here, as long has passed
-                for all of them as for the slowest: by that, each searcher was four times as slow
-                as it is, and second sends went out as late as they may.
-            load: What the searcher said of its load; None where it said nothing.
+            seconds: Duration of the call as measured by the other instance. The time until the
+                merged result arrives here is that of the slowest call: when that was used, each
+                searcher seemed four times as slow as it is, and hedges were sent as late as
+                possible.
+            load: The searcher's load report; None if it sent none.
         """
         if load is not None:
             self.replica.reported(load, self._now())
         if self.is_open:
-            self._observe(Verdict.ANSWERED, 200, seconds)
+            self._record(Verdict.ANSWERED, 200, seconds)
             self._owner.ended(self, Verdict.ANSWERED, None, "")
 
-    def carried_failed(self, verdict: Verdict, status: int, reason: str) -> None:
-        """Take in that another instance made the send and has no answer.
+    def delegated_call_failed(self, verdict: Verdict, status: int, reason: str) -> None:
+        """Handle a delegated call that failed.
 
         Args:
-            verdict: What is known of it.
-            status: Status of the searcher's reply; 0 where there was none.
-            reason: What happened.
+            verdict: The call's verdict.
+            status: Status of the searcher's reply; 0 if there was none.
+            reason: Cause of the failure.
         """
         if self.is_open:
-            self._observe(verdict, status, self._age())
+            self._record(verdict, status, self._age())
             self._owner.ended(self, verdict, None, reason)
 
     @property
@@ -150,12 +152,12 @@
         return self._owner.is_under_way(self)
 
     def drop(self) -> None:
-        """Give up on the send; it would have taken longer still."""
+        """Cancel the send, and record that it would have taken longer than its age."""
         now, seconds = self._now(), self._age()
         replica, outgoing = self.replica, self._owner.outgoing
         replica.in_flight.pop(self._number, None)
-        replica.observe_at_least(_LOST_AGES * seconds / outgoing.timings.usual, now)
-        if self.has_left and 0 <= now - outgoing.deadline < _AWAKE_SECONDS:
+        replica.observe_at_least(_ABANDONED_AGE_FACTOR * seconds / outgoing.timings.usual, now)
+        if self.has_left and 0 <= now - outgoing.deadline < _MAX_TIMER_DELAY:
             replica.window.late(seconds, len(replica.in_flight), now)
         if self.call is not None:
             self.call.cancel()
@@ -181,15 +183,15 @@
         load = read_load(reply, names)
         if load is not None:
             self.replica.reported(load, self._now())
-        self._observe(verdict, reply.status, self._age())
+        self._record(verdict, reply.status, self._age())
         self._owner.ended(self, verdict, reply, f"status_{reply.status}")
 
     def _failed(self, error: Exception) -> None:
         verdict = judge_failure(error, sent=self.has_left)
-        self._observe(verdict, 0, self._age())
+        self._record(verdict, 0, self._age())
         self._owner.ended(self, verdict, None, repr(error))
 
-    def _observe(self, verdict: Verdict, status: int, seconds: float) -> None:
+    def _record(self, verdict: Verdict, status: int, seconds: float) -> None:
         now = self._now()
         self.replica.in_flight.pop(self._number, None)
         timings = self._owner.outgoing.timings
--- a/packages/limpethollow-node/src/limpethollow_node/engine/request/tries.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/request/tries.py
@@ -1,4 +1,4 @@
-"""The sends of one request to the searchers of one service, until one answers or none can."""
+"""All sends of a request to one service, until a searcher answers or no further send is allowed."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -11,52 +11,52 @@
 from limpethollow_policy.process.searchers import Replica
 from limpethollow_policy.request.verdicts import Verdict
 
-# Sends beyond a route's attempts that searchers refused or never got; those have not run. Two more
-# reach a third and a fourth searcher while a service is being replaced.
-_SENDS_NOT_RUN = 2
-# Part of the repeated sends' slack that hedges leave for requests whose only send has failed.
-_HEDGE_RESERVE = 0.25
-# Statuses with which a searcher refuses a request because it has too many.
+# Sends allowed beyond a route's attempts when searchers refused or never received the request and
+# so have not run it. Two more reach a third and a fourth searcher while a service is replaced.
+_EXTRA_SENDS = 2
+# Fraction of the retry budget's slack that hedges leave to requests whose only send failed.
+_HEDGE_RESERVE_FRACTION = 0.25
+# Statuses with which a searcher refuses a request because it is at capacity.
 _FULL_STATUSES = (429, 503)
-# Why a request that may run once only is not sent again.
+# A request that must not run twice is not retried after it may have run.
 _MAY_HAVE_RUN = "may_have_run"
-# Why a request that ended each searcher is not sent again.
+# A request that crashed every searcher it was sent to is not retried.
 _QUARANTINED = "quarantined"
-# Why a request that may end its searchers waits before it is sent again.
+# A request that may crash searchers waits for its trial elsewhere before it is retried.
 _ON_TRIAL_ELSEWHERE = "on_trial_elsewhere"
 
 
 class Carrier(Protocol):
-    """Takes first sends that another instance may make as part of a batch."""
+    """Takes over first sends that can be delegated to another instance in a batch."""
 
     def offer(self, send: Send) -> bool:
-        """Return whether the send is taken over; it is made directly otherwise."""
+        """Return whether the send is taken over; otherwise it is made directly."""
 
 
 class Tries:
-    """Sends a request to one searcher of a service, and to others as far as that is safe.
+    """Sends a request to a searcher of a service, with retries and hedges where these are safe.
 
     Args:
-        dispatch: What the process shares.
+        dispatch: State shared by the process.
         outgoing: The request.
         service: The service.
-        on_done: Called once with this object when the outcome is settled.
+        on_done: Called once with this object when the outcome is final.
         carrier: May take over the first send.
 
     Attributes:
-        lost: Ids of the searchers whose connection ended under the request, in order.
+        lost: Ids of the searchers whose connection closed during the request, in order.
     """
 
     __slots__ = (
-        "_arrivals",
+        "_possible_arrivals",
         "_carrier",
         "_on_done",
         "_refused_as_full",
-        "_runs",
+        "_possible_runs",
         "_sends",
-        "_under_way",
-        "_used",
-        "_waits",
+        "_in_flight",
+        "_searchers",
+        "_is_waiting",
         "dispatch",
         "done",
         "hedges",
@@ -80,13 +80,13 @@
         self.dispatch = dispatch
         self.outgoing = outgoing
         self._on_done = on_done
-        self._under_way: list[Send] = []
-        self._used: list[str] = []
+        self._in_flight: list[Send] = []
+        self._searchers: list[str] = []
         self._sends = 0
-        self._runs = 0
-        self._arrivals = 0
+        self._possible_runs = 0
+        self._possible_arrivals = 0
         self._refused_as_full = False
-        self._waits = False
+        self._is_waiting = False
         self.service = service
         self.done = False
         self.hedges = 0
@@ -97,19 +97,19 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Return whether some searcher may have run the request, or still may."""
-        waiting = sum(not send.has_left for send in self._under_way)
-        return self._runs > waiting
+        """Return whether a searcher may have run the request, or may still run it."""
+        waiting = sum(not send.has_left for send in self._in_flight)
+        return self._possible_runs > waiting
 
     @property
     def found_full(self) -> bool:
-        """Return whether it ended because the searchers that were asked said that they are full."""
+        """Return whether the request failed because the searchers reported to be at capacity."""
         return self.verdict is Verdict.NOT_RUN and self._refused_as_full
 
     @property
     def searchers(self) -> list[str]:
         """Return the ids of the searchers that were chosen, in order."""
-        return self._used
+        return self._searchers
 
     def start(self) -> None:
         """Make the first send."""
@@ -117,10 +117,10 @@
         self.start_at(self._choose())
 
     def start_at(self, replica: Replica | None) -> None:
-        """Make the first send of a request that is counted already.
+        """Make the first send of a request that the retry budget already counts.
 
         Args:
-            replica: The searcher chosen for it; None where none may be used.
+            replica: The chosen searcher; None if none is available.
         """
         if replica is None:
             self._finish(Verdict.NOT_SENT, "no_searcher")
@@ -130,22 +130,22 @@
             self._wait()
 
     def hedge(self) -> bool:
-        """Ask a second searcher because the first is late; return whether both are asked now."""
-        if self.done or not self.outgoing.route.idempotent or not self._under_way:
+        """Call a second searcher because the first is late; return whether both are in flight."""
+        if self.done or not self.outgoing.route.idempotent or not self._in_flight:
             return False
         if not self.outgoing.guard.may_send():
             return False
         other = self._choose_other()
         if other is None:
             return False
-        first = self._under_way[0]
+        first = self._in_flight[0]
         if not first.has_left:
-            # It still waits for a connection. Nothing has arrived, so moving it elsewhere is no
-            # repeated send.
+            # The send still waits for a connection. The searcher received nothing, so sending it to
+            # another one is not a retry.
             self._withdraw(first)
             self._launch(other)
             return False
-        if not self._may_send() or not self._take(_HEDGE_RESERVE):
+        if not self._may_send() or not self._take_budget(_HEDGE_RESERVE_FRACTION):
             return False
         self.hedges += 1
         self.dispatch.metrics.count("hedges")
@@ -154,20 +154,20 @@
 
     def is_under_way(self, send: Send) -> bool:
         """Return whether an outcome of a send still counts."""
-        return send in self._under_way
+        return send in self._in_flight
 
     def abandon(self) -> None:
-        """Want no outcome any more."""
+        """Cancel all sends and ignore their outcomes."""
         self.done = True
         self._drop_sends()
 
     def _launch(self, replica: Replica) -> None:
         send = Send(self, replica, self.dispatch.loop.time())
-        self._under_way.append(send)
-        self._used.append(replica.searcher.id)
+        self._in_flight.append(send)
+        self._searchers.append(replica.searcher.id)
         self._sends += 1
-        self._runs += 1
-        self._arrivals += 1
+        self._possible_runs += 1
+        self._possible_arrivals += 1
         carrier, self._carrier = self._carrier, None
         if carrier is None or send.on_trial or not carrier.offer(send):
             send.go()
@@ -175,20 +175,20 @@
     def _choose(self) -> Replica | None:
         now = self.dispatch.loop.time()
         usual = self.outgoing.timings.usual
-        return self.dispatch.fleet.choose(self.service, now, usual, self._used)
+        return self.dispatch.fleet.choose(self.service, now, usual, self._searchers)
 
     def _choose_other(self) -> Replica | None:
         replica = self._choose()
-        if replica is None or replica.searcher.id in self._used:
+        if replica is None or replica.searcher.id in self._searchers:
             return None
         return replica
 
     def _may_send(self) -> bool:
         attempts = self.outgoing.route.attempts
-        return self._runs < attempts and self._sends < attempts + _SENDS_NOT_RUN
+        return self._possible_runs < attempts and self._sends < attempts + _EXTRA_SENDS
 
-    def _take(self, reserve: float = 0.0) -> bool:
-        if self._arrivals == 0:
+    def _take_budget(self, reserve: float = 0.0) -> bool:
+        if self._possible_arrivals == 0:
             return True
         taken = self.dispatch.budget.take(self.service, self.dispatch.loop.time(), reserve)
         if not taken:
@@ -196,13 +196,13 @@
         return taken
 
     def ended(self, send: Send, verdict: Verdict, reply: Reply | None, reason: str) -> None:
-        """Take in the end of a send."""
-        self._under_way.remove(send)
+        """Handle the outcome of a send."""
+        self._in_flight.remove(send)
         if verdict is Verdict.NOT_SENT:
-            self._arrivals -= 1
+            self._possible_arrivals -= 1
         if verdict in (Verdict.NOT_SENT, Verdict.NOT_RUN):
-            self._runs -= 1
-        self._tell_guard(send, verdict)
+            self._possible_runs -= 1
+        self._notify_guard(send, verdict)
         if self.done:
             return
         if verdict is Verdict.ANSWERED:
@@ -222,11 +222,11 @@
             self.log_again(verdict.value)
         elif obstacle == _ON_TRIAL_ELSEWHERE:
             self._wait()
-        elif obstacle == _MAY_HAVE_RUN or not self._under_way:
+        elif obstacle == _MAY_HAVE_RUN or not self._in_flight:
             self._finish(verdict, reason)
 
-    def _tell_guard(self, send: Send, verdict: Verdict) -> None:
-        """Tell what the end of a send says of the request."""
+    def _notify_guard(self, send: Send, verdict: Verdict) -> None:
+        """Report the outcome of a send to the crash guard."""
         guard, searcher = self.outgoing.guard, send.replica.searcher.run
         if verdict is Verdict.ANSWERED:
             guard.answered()
@@ -237,35 +237,35 @@
         self.lost.append(send.replica.searcher.id)
         guard.lost(searcher)
         if guard.is_quarantined:
-            # Now, not at the request's end: other sends of it may last until its deadline.
+            # Not deferred to the end of the request, whose other sends may last until its deadline.
             self.dispatch.quarantines.ended(guard)
 
     def _wait(self) -> None:
-        """Wait until a searcher has answered another send of the request, or it is this turn."""
-        if not self._waits:
-            self._waits = True
+        """Wait until the crash guard allows a send: after an answer to another send, or in turn."""
+        if not self._is_waiting:
+            self._is_waiting = True
             self.outgoing.guard.wait(self._resume)
 
     def _resume(self) -> None:
-        self._waits = False
+        self._is_waiting = False
         if self.done:
             return
         other = self._choose()
         obstacle = self._obstacle(other)
         if obstacle is None:
             self._launch(other)
-        elif not self._under_way:
+        elif not self._in_flight:
             self._finish(Verdict.LOST if self.lost else Verdict.NOT_SENT, obstacle)
 
     def _obstacle(self, other: Replica | None) -> str | None:
-        """Return why the request can't be sent once more; None where the budget was taken for it.
+        """Return why the request can't be sent again; None if it can, with the budget taken.
 
         Args:
-            other: The searcher that would get it.
+            other: The searcher that it would be sent to.
         """
         guard = self.outgoing.guard
-        if not self.outgoing.route.idempotent and self._runs:
-            # Another send might run it twice, so the outcome stays as it is.
+        if not self.outgoing.route.idempotent and self._possible_runs:
+            # Another send might run the request twice.
             return _MAY_HAVE_RUN
         if guard.is_quarantined:
             return _QUARANTINED
@@ -275,19 +275,19 @@
             return "attempts"
         if not guard.may_send():
             return _ON_TRIAL_ELSEWHERE
-        if not self._take():
+        if not self._take_budget():
             return "budget"
         return None
 
     def log_again(self, why: str) -> None:
-        """Tell that another searcher is asked as well, and why."""
+        """Log that another searcher is called, and why."""
         now = self.dispatch.loop.time()
-        first = self._under_way[0].started
+        first = self._in_flight[0].started
         events.SENT_AGAIN.log(
             request=self.outgoing.id_text,
             service=self.service,
             why=why,
-            searchers=list(self._used),
+            searchers=list(self._searchers),
             after_ms=round((now - first) * 1000, 1),
             usual_ms=round(self.outgoing.timings.usual * 1000, 1),
             room=round(self.dispatch.budget.room(self.service, now), 1),
@@ -323,15 +323,15 @@
         self._on_done(self)
 
     def _drop_sends(self) -> None:
-        dropped, self._under_way = self._under_way, []
+        dropped, self._in_flight = self._in_flight, []
         for send in dropped:
             send.drop()
             self.outgoing.guard.ended(send.replica.searcher.run)
 
     def _withdraw(self, send: Send) -> None:
-        self._under_way.remove(send)
+        self._in_flight.remove(send)
         send.drop()
         self.outgoing.guard.ended(send.replica.searcher.run)
         self._sends -= 1
-        self._runs -= 1
-        self._arrivals -= 1
+        self._possible_runs -= 1
+        self._possible_arrivals -= 1
--- a/tests/unit/engine/test_loadreports.py
+++ b/tests/unit/engine/test_loadreports.py
@@ -48,7 +48,9 @@
 
     def test_a_frame_that_lacks_one_is_refused(self):
         """Guards against a shard whose call never ends since its time or load is missing."""
-        with pytest.raises(ValueError, match="not one time"):
+        with pytest.raises(
+            ValueError, match="numbers of signatures, durations and loads in a parts frame differ"
+        ):
             BatchParts(1, {"s": b"p", "t": b"q"}, [5], b"", [None, None])
 
 
--- a/tests/unit/engine/test_sends.py
+++ b/tests/unit/engine/test_sends.py
@@ -38,12 +38,12 @@
 
     def test_so_does_one_that_another_instance_met(self):
         dispatch, tries = self.play()
-        tries._under_way[0].carried_failed(Verdict.NOT_RUN, 421, "status_421")
+        tries._in_flight[0].delegated_call_failed(Verdict.NOT_RUN, 421, "status_421")
         assert not self.takes_calls(dispatch, 5.0)
 
     def test_a_searcher_that_is_full_is_asked_again(self):
         dispatch, tries = self.play()
-        tries._under_way[0].carried_failed(Verdict.NOT_RUN, 503, "status_503")
+        tries._in_flight[0].delegated_call_failed(Verdict.NOT_RUN, 503, "status_503")
         assert self.takes_calls(dispatch, 0.0)
 
     def test_one_that_starts_anew_is_asked_at_once(self):
