--- a/packages/limpethollow-node/src/limpethollow_node/connection/peer_listeners.py
+++ b/packages/limpethollow-node/src/limpethollow_node/connection/peer_listeners.py
@@ -12,7 +12,7 @@
 from limpethollow_node.connection.peers import OPEN_TIMEOUT, PING_SECONDS, limit_send
 from limpethollow_node.process import events
 from limpethollow_node.process.metrics import Metrics
-from limpethollow_policy.connection.links import OpenRequests
+from limpethollow_policy.connection.links import PeerRequestLimiter
 from limpethollow_wire.codecs import convert, from_cbor, to_cbor
 from limpethollow_wire.exceptions import (
     BadRequest,
@@ -66,7 +66,7 @@
         self._metrics = metrics
         self._workers = ThreadPoolExecutor(_WORKERS, thread_name_prefix="peer-request")
         self._control = ThreadPoolExecutor(_CONTROL_WORKERS, thread_name_prefix="peer-control")
-        self._open = OpenRequests(_REQUESTS_OF_ONE_PEER)
+        self._open = PeerRequestLimiter(_REQUESTS_OF_ONE_PEER)
         self._open_lock = threading.Lock()
         self._server = serve(
             self._handle,
--- a/packages/limpethollow-node/src/limpethollow_node/connection/pools.py
+++ b/packages/limpethollow-node/src/limpethollow_node/connection/pools.py
@@ -15,11 +15,11 @@
 from limpethollow_node.process import events
 from limpethollow_node.process.metrics import Metrics
 from limpethollow_node.process.timers import Timers
-from limpethollow_policy.connection.budgets import (
+from limpethollow_policy.connection.connection_limits import (
     IDLE_SECONDS,
-    ConnectionBook,
-    Full,
-    Reuse,
+    ConnectionTracker,
+    ReuseConnection,
+    WaitForConnection,
     connections_per_searcher,
 )
 from limpethollow_wire.services import SearcherSpec
@@ -121,7 +121,7 @@
         self._port = int(port)
         self._timers = timers
         self._metrics = metrics
-        self._book = ConnectionBook(limit, idle_seconds)
+        self._book = ConnectionTracker(limit, idle_seconds)
         self._changed = threading.Condition()
         self._open: dict[int, HTTPConnection] = {}
         self._leases: set[Lease] = set()
@@ -176,7 +176,7 @@
         with self._changed:
             self._leases.discard(lease)
             if not lease.is_open:
-                self._book.not_opened(lease.number)
+                self._book.connect_failed(lease.number)
                 self._open.pop(lease.number)
             else:
                 self._metrics.count(_COUNTER, "condemned")
@@ -218,13 +218,13 @@
         for lease in leases:
             lease.abort()
 
-    def _try_lease(self, control: bool) -> Lease | Full:
+    def _try_lease(self, control: bool) -> Lease | WaitForConnection:
         while True:
             choice = self._book.take(time.monotonic(), control=control)
-            if isinstance(choice, Full):
+            if isinstance(choice, WaitForConnection):
                 return choice
             number = choice.number
-            is_new = not isinstance(choice, Reuse)
+            is_new = not isinstance(choice, ReuseConnection)
             if is_new:
                 self._open[number] = HTTPConnection(self._host, self._port)
             elif not self._open[number].is_connected:
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/engine.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/engine.py
@@ -10,7 +10,12 @@
 from limpethollow_node.engine.request.outgoing import Outgoing
 from limpethollow_node.engine.request.searches import RETRY_ELSEWHERE, STOPPING, Search
 from limpethollow_node.process import events
-from limpethollow_policy.version.routes import Route, RoutingVersion, VersionBook, WeightedTurns
+from limpethollow_policy.version.routes import (
+    CurrentVersion,
+    Route,
+    RoutingVersion,
+    WeightedRoundRobin,
+)
 from limpethollow_wire.exceptions import LimpethollowError, NoRoute, Unavailable
 
 # A version that was last confirmed to be the newest longer ago than this, in seconds, may lack a
@@ -33,10 +38,10 @@
 
     __slots__ = ("_dispatch", "_intake", "_running", "_turns", "desk", "refuses", "versions")
 
-    def __init__(self, dispatch: Dispatch, versions: VersionBook) -> None:
+    def __init__(self, dispatch: Dispatch, versions: CurrentVersion) -> None:
         self._dispatch = dispatch
         self._intake = Intake(dispatch)
-        self._turns = WeightedTurns()
+        self._turns = WeightedRoundRobin()
         self.desk: BatchDesk | None = None
         self._running: set[Search | Forward] = set()
         self.refuses = False
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/intake.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/intake.py
@@ -84,7 +84,7 @@
 
     def over(self, parts: int) -> None:
         """Report how many shards had responded when the search was due or complete."""
-        self._report_lateness(late=parts < self._outgoing.route.least_parts)
+        self._report_lateness(late=parts < self._outgoing.route.min_parts)
         self._report_congestion(1.0 if self._is_congested(parts) else 0.0)
 
     def _is_congested(self, parts: int) -> bool:
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/quarantines.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/quarantines.py
@@ -5,7 +5,7 @@
 from limpethollow_node.process import events
 from limpethollow_node.process.metrics import Metrics
 from limpethollow_policy.process.crashes import CrashLedger, CrashReport, Standing
-from limpethollow_policy.request.crashguards import CrashGuard
+from limpethollow_policy.request.crash_guards import CrashGuard
 from limpethollow_wire.exceptions import Quarantined
 
 Clock = Callable[[], float]
--- a/packages/limpethollow-node/src/limpethollow_node/engine/request/forwards.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/request/forwards.py
@@ -8,7 +8,7 @@
 from limpethollow_node.engine.request.outgoing import Outgoing
 from limpethollow_node.engine.request.searches import RETRY_ELSEWHERE, STOPPING
 from limpethollow_node.engine.request.tries import Tries
-from limpethollow_policy.request.verdicts import Verdict, may_pass_on
+from limpethollow_policy.request.verdicts import Verdict, may_return_failure
 from limpethollow_wire.exceptions import AnswerLate, LimpethollowError, NoUsableReply, Unavailable
 
 # `Retry-After` values in seconds. A searcher that refused a request has a free slot after about the
@@ -104,7 +104,7 @@
             self._fail(error, tries.reason)
 
     def _may_relay(self, reply: Reply) -> bool:
-        return may_pass_on(reply.status, idempotent=self._outgoing.route.idempotent)
+        return may_return_failure(reply.status, idempotent=self._outgoing.route.idempotent)
 
     def _relay(self, reply: Reply, reason: str) -> None:
         self._release()
--- a/packages/limpethollow-node/src/limpethollow_node/engine/request/judging.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/request/judging.py
@@ -4,7 +4,7 @@
 from limpethollow_node.engine.messages import HeaderNames, Reply
 from limpethollow_node.process import events
 from limpethollow_policy.process.loadreports import LoadReport
-from limpethollow_policy.request.verdicts import Verdict, judge_reply
+from limpethollow_policy.request.verdicts import Verdict, classify_reply
 from limpethollow_wire.exceptions import BadRequest
 
 
@@ -16,7 +16,7 @@
         names: The deployment's header names.
         request_id: Id of the request.
     """
-    return judge_reply(
+    return classify_reply(
         reply.status,
         own_id=reply.header(names.request_id) == request_id,
         proved=reply.header(names.proof) is not None,
--- a/packages/limpethollow-node/src/limpethollow_node/engine/request/outgoing.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/request/outgoing.py
@@ -12,7 +12,7 @@
 )
 from limpethollow_node.engine.process.dispatch import Dispatch
 from limpethollow_policy.process.timings import RouteTimings
-from limpethollow_policy.request.crashguards import CrashGuard
+from limpethollow_policy.request.crash_guards import CrashGuard
 from limpethollow_policy.version.routes import Route
 from limpethollow_wire.exceptions import BadRequest
 
--- a/packages/limpethollow-node/src/limpethollow_node/engine/request/searches.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/request/searches.py
@@ -79,7 +79,7 @@
         self._outgoing = outgoing
         self._log = log
         self._parts = PartSet(outgoing.route.top)
-        self._min_parts = outgoing.route.least_parts
+        self._min_parts = outgoing.route.min_parts
         self._carrier = ShardCarrier(dispatch, desk, outgoing, self._on_group)
         self._pending = len(outgoing.route.shards)
         self._awaits_floor = False
--- a/packages/limpethollow-node/src/limpethollow_node/platform/process.py
+++ b/packages/limpethollow-node/src/limpethollow_node/platform/process.py
@@ -46,7 +46,7 @@
 from limpethollow_policy.process.sendbudgets import SendBudget
 from limpethollow_policy.process.slackclaims import SlackClaim
 from limpethollow_policy.process.topology import WatchRole
-from limpethollow_policy.version.routes import RoutingVersion, VersionBook
+from limpethollow_policy.version.routes import CurrentVersion, RoutingVersion
 from limpethollow_wire.exceptions import LimpethollowError, SettingsError
 
 # Kinds whose changes come in rows, as when a service is replaced. Configurations do not.
@@ -90,7 +90,7 @@
         self._dispatch = Dispatch(
             Fleet(settings.zone, self._rng), self._budget, HEADERS, self.metrics
         )
-        self._engine = Engine(self._dispatch, VersionBook())
+        self._engine = Engine(self._dispatch, CurrentVersion())
         self._roster = Roster(_own_instance(settings), self._instances_changed)
         self._catalog = Catalog(
             self._dispatch,
--- a/packages/limpethollow-node/src/limpethollow_node/process/actors.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/actors.py
@@ -19,17 +19,17 @@
     Action,
     CancelCall,
     Complete,
+    CompleteVersions,
     Count,
     DenySlot,
+    FailSearch,
     Failure,
     GrantSlot,
-    Refuse,
+    NotifyDrain,
+    ScheduleTick,
     Search,
-    Servable,
     SlotRequest,
     StartCall,
-    TellDrain,
-    WakeAt,
 )
 from limpethollow_policy.version.groups import Group
 from limpethollow_wire.exceptions import Unavailable
@@ -94,7 +94,7 @@
 
     searcher_id: str
     draining: bool
-    said_at: float
+    reported_at: float
     listed: bool
 
 
@@ -247,8 +247,10 @@
                 self._workers.shutdown(wait=False)
                 self._workers = self._make_workers(group)
                 return self._scheduler.reconfigure(spec, group, now)
-            case DrainMessage(searcher_id, draining, said_at, listed):
-                return self._scheduler.drain_noted(searcher_id, draining, said_at, listed, now)
+            case DrainMessage(searcher_id, draining, reported_at, listed):
+                return self._scheduler.drain_reported(
+                    searcher_id, draining, reported_at, listed, now
+                )
             case RetireMessage():
                 self._retiring = True
                 return []
@@ -266,9 +268,9 @@
                 self._workers.submit(self._cancel, self._calls[call_id], call_id)
             case Complete(search_id, answer):
                 self._settle(search_id, lambda future: future.set_result(answer))
-            case Servable(search_id, versions):
+            case CompleteVersions(search_id, versions):
                 self._settle(search_id, lambda future: future.set_result(versions))
-            case Refuse(search_id, error):
+            case FailSearch(search_id, error):
                 self._settle(search_id, lambda future: future.set_exception(error))
             case GrantSlot(request_id, searcher_id):
                 self._give_slot(request_id, searcher_id)
@@ -278,9 +280,9 @@
                     future.set_exception(error)
             case Count(name, reason):
                 self._metrics.count(name, reason)
-            case TellDrain(searcher_id, draining):
+            case NotifyDrain(searcher_id, draining):
                 self._tell_drain(searcher_id, draining)
-            case WakeAt(when):
+            case ScheduleTick(when):
                 self._set_wake(when)
 
     def _settle(self, search_id: str, give: Callable[[Future[Any]], None]) -> None:
--- a/packages/limpethollow-node/src/limpethollow_node/process/drains.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/drains.py
@@ -9,9 +9,9 @@
 from limpethollow_node.process.links import PeerLinks
 from limpethollow_node.process.members import MemberKeeper
 from limpethollow_node.process.metrics import Metrics
-from limpethollow_policy.connection.budgets import DISAGREEING_OWNERS
+from limpethollow_policy.connection.connection_limits import MAX_CONCURRENT_OWNERS
 from limpethollow_policy.process.owners import group_key, owner_order
-from limpethollow_policy.version.groups import cut_groups
+from limpethollow_policy.version.groups import partition_service
 from limpethollow_wire.exceptions import LimpethollowError
 from limpethollow_wire.instances import SearcherListing
 from limpethollow_wire.peers import Acknowledgement, DrainNotice
@@ -64,7 +64,7 @@
         leaving = frozenset(s.address for s in searchers if s.state == _LEAVING)
         changed, self._listed = leaving ^ self._listed, leaving
         for notice in self._notices_of(changed):
-            self._groups.drain_noted(notice)
+            self._groups.drain_reported(notice)
             self._workers.submit(self._tell_owners, notice, time.monotonic())
 
     def _notices_of(self, addresses: frozenset[str]) -> list[DrainNotice]:
@@ -79,24 +79,24 @@
             )
             for record in self._configs.records
             if record.spec is not None and addresses
-            for group in cut_groups(record.spec)
+            for group in partition_service(record.spec)
             for searcher in group.searchers
             if searcher.address in addresses
         ]
 
-    def _tell_owners(self, notice: DrainNotice, said_at: float) -> None:
+    def _tell_owners(self, notice: DrainNotice, reported_at: float) -> None:
         key = group_key(notice.service, notice.group)
-        for owner in owner_order(key, self._members.routable())[:DISAGREEING_OWNERS]:
+        for owner in owner_order(key, self._members.routable())[:MAX_CONCURRENT_OWNERS]:
             if owner.id != self._members.own_id:
-                self._tell(owner.id, notice, said_at)
+                self._tell(owner.id, notice, reported_at)
 
-    def _tell(self, peer_id: str, notice: DrainNotice, said_at: float) -> None:
+    def _tell(self, peer_id: str, notice: DrainNotice, reported_at: float) -> None:
         aged = DrainNotice(
             notice.service,
             notice.group,
             notice.searcher,
             notice.draining,
-            age=time.monotonic() - said_at,
+            age=time.monotonic() - reported_at,
             listed=notice.listed,
         )
         try:
--- a/packages/limpethollow-node/src/limpethollow_node/process/groups.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/groups.py
@@ -25,7 +25,7 @@
 from limpethollow_node.process.metrics import Metrics
 from limpethollow_node.process.timers import Timers
 from limpethollow_policy.request.events import Failure, Search, SlotRequest
-from limpethollow_policy.version.groups import Group, cut_groups
+from limpethollow_policy.version.groups import Group, partition_service
 from limpethollow_wire.exceptions import Unavailable, VersionGone
 from limpethollow_wire.peers import DrainNotice
 from limpethollow_wire.services import SearcherSpec, ServiceRecord
@@ -158,10 +158,12 @@
         """Return the client of one searcher."""
         return self._clients[searcher_id]
 
-    def drain_noted(self, notice: DrainNotice) -> None:
+    def drain_reported(self, notice: DrainNotice) -> None:
         """Take in what is known elsewhere of a leaving or returning searcher."""
-        said_at = time.monotonic() - notice.age
-        self._mailbox.tell(DrainMessage(notice.searcher, notice.draining, said_at, notice.listed))
+        reported_at = time.monotonic() - notice.age
+        self._mailbox.tell(
+            DrainMessage(notice.searcher, notice.draining, reported_at, notice.listed)
+        )
 
     def retire(self) -> None:
         """End the actor once nothing is open, so that no request is cut off."""
@@ -225,12 +227,12 @@
         """Have a callable told of searchers that said that they are leaving or back."""
         self._parts.drain_listeners.append(listener)
 
-    def drain_noted(self, notice: DrainNotice) -> None:
+    def drain_reported(self, notice: DrainNotice) -> None:
         """Take in what is known elsewhere of a searcher, if its group runs here."""
         with self._lock:
             group = self._groups.get((notice.service, notice.group))
         if group is not None:
-            group.drain_noted(notice)
+            group.drain_reported(notice)
 
     def give_up(self) -> None:
         """End everything that is open because the process is about to exit."""
@@ -254,11 +256,11 @@
                 if record.version < self._versions.get(record.name, 0):
                     raise VersionGone(f"Service '{record.name}' has a newer version in force.")
                 prefix = f"{self._incarnation}-{next(self._numbers)}"
-                cut = cut_groups(record.spec)[index]
+                cut = partition_service(record.spec)[index]
                 group = LocalGroup.start(record, cut, self._parts, prefix)
                 self._groups[record.name, index] = group
             elif group.version < record.version:
-                group = group.moved_to(record, cut_groups(record.spec)[index])
+                group = group.moved_to(record, partition_service(record.spec)[index])
                 self._groups[record.name, index] = group
             return group
 
@@ -274,7 +276,7 @@
         group = self._groups[name, index]
         if group.version >= record.version:
             return
-        cut = cut_groups(record.spec) if record.spec else ()
+        cut = partition_service(record.spec) if record.spec else ()
         if index < len(cut):
             self._groups[name, index] = group.moved_to(record, cut[index])
         else:
--- a/packages/limpethollow-node/src/limpethollow_node/process/links.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/links.py
@@ -10,7 +10,7 @@
 from limpethollow_node.process import events
 from limpethollow_node.process.members import MemberKeeper
 from limpethollow_node.process.metrics import Metrics
-from limpethollow_policy.connection.links import Dialling
+from limpethollow_policy.connection.links import DialBackoff
 from limpethollow_wire.codecs import convert
 from limpethollow_wire.exceptions import BadRequest
 from limpethollow_wire.peers import Hello
@@ -123,7 +123,7 @@
         finally:
             line.lock.release()
 
-    def _dial(self, peer_id: str, dialling: Dialling) -> PeerLink:
+    def _dial(self, peer_id: str, dialling: DialBackoff) -> PeerLink:
         wait = dialling.wait(time.monotonic())
         if wait > 0:
             raise NotDialled("The peer did not answer just now.", retry_after=wait)
@@ -164,5 +164,5 @@
 
     def __init__(self, rng: Random) -> None:
         self.lock = threading.Lock()
-        self.dialling = Dialling(rng)
+        self.dialling = DialBackoff(rng)
         self.link: PeerLink | None = None
--- a/packages/limpethollow-node/src/limpethollow_node/request/booking_drivers.py
+++ b/packages/limpethollow-node/src/limpethollow_node/request/booking_drivers.py
@@ -15,18 +15,18 @@
 from limpethollow_policy.request.booking_events import (
     BookingAction,
     BookingEvent,
+    DiscardRun,
     Dispatch,
     DispatchAnswered,
     DispatchFailed,
     LookUp,
     ReleaseSlot,
+    RequestSlot,
     SlotDenied,
     SlotGranted,
-    Stop,
-    TakeSlot,
     Tell,
     WakeUp,
-    Woken,
+    WakeUpDue,
 )
 from limpethollow_policy.request.booking_runs import BookingRun
 from limpethollow_policy.request.events import Count, Failure, SlotRequest
@@ -111,7 +111,7 @@
         self._drive(actions)
 
     def _wake(self) -> None:
-        self._drive(self._handle(Woken()))
+        self._drive(self._handle(WakeUpDue()))
 
     def _handle(self, event: BookingEvent) -> list[BookingAction]:
         with self._lock:
@@ -130,7 +130,7 @@
 
     def _carry_out(self, action: BookingAction) -> BookingEvent | None:
         match action:
-            case TakeSlot():
+            case RequestSlot():
                 return self._take_slot(action)
             case ReleaseSlot(attempt, failure, retry_after):
                 group = self._slots.pop(attempt)
@@ -143,13 +143,13 @@
                 self._context.later(when, self._wake)
             case Tell(outcome):
                 self._tell(outcome)
-            case Stop():
+            case DiscardRun():
                 self._context.stopped(self._forwarded)
             case Count(name, reason):
                 self._context.metrics.count(name, reason)
         return None
 
-    def _take_slot(self, action: TakeSlot) -> BookingEvent:
+    def _take_slot(self, action: RequestSlot) -> BookingEvent:
         request = self._forwarded.request
         try:
             group, placement = self._context.group(self._forwarded.service, request.shard)
--- a/packages/limpethollow-node/src/limpethollow_node/request/bookings.py
+++ b/packages/limpethollow-node/src/limpethollow_node/request/bookings.py
@@ -16,9 +16,9 @@
 from limpethollow_node.request.booking_drivers import BookingDriver, DriverContext
 from limpethollow_node.request.booking_resolvers import BookingResolver
 from limpethollow_policy.request.booking_periods import period_at
-from limpethollow_policy.request.booking_placements import Placements
-from limpethollow_policy.request.bookings import NEVER_RUN, BookingLedger, Verdict, never_run
-from limpethollow_policy.version.groups import cut_groups
+from limpethollow_policy.request.booking_placements import PlacementHistory
+from limpethollow_policy.request.bookings import NEVER_RUN, BookingLedger, Verdict, not_run_outcome
+from limpethollow_policy.version.groups import partition_service
 from limpethollow_wire.bookings import (
     BookingOutcome,
     BookingRequest,
@@ -66,7 +66,7 @@
         self._lock = threading.Lock()
         self._ledger = BookingLedger(own_id, incarnation, self._started)
         self._drivers: dict[str, BookingDriver] = {}
-        self._placements = Placements()
+        self._placements = PlacementHistory()
         self._timers = Timers()
         self._resolver = BookingResolver(groups.client, metrics)
         self._background = ThreadPoolExecutor(
@@ -221,7 +221,7 @@
                 details={"token": str(token)},
             )
         if verdict in NEVER_RUN:
-            return never_run(token, verdict)
+            return not_run_outcome(token, verdict)
         return self._resolve(service, token)
 
     def _known(self, token: BookingToken, service: str, deadline: float) -> BookingOutcome:
@@ -294,4 +294,4 @@
 
 def _group_of(record: ServiceRecord, shard: int) -> int:
     assert record.spec is not None
-    return next(group.index for group in cut_groups(record.spec) if shard in group.shards)
+    return next(group.index for group in partition_service(record.spec) if shard in group.shards)
--- a/packages/limpethollow-node/src/limpethollow_node/request/owners.py
+++ b/packages/limpethollow-node/src/limpethollow_node/request/owners.py
@@ -17,7 +17,7 @@
 from limpethollow_policy.process.dispatches import find_dispatch
 from limpethollow_policy.process.owners import SilentOwners, group_key, spread_over_owners
 from limpethollow_policy.request.forwards import ForwardPlan
-from limpethollow_policy.request.hedges import ShareBudget
+from limpethollow_policy.request.hedges import RatioBudget
 from limpethollow_wire.exceptions import LimpethollowError, Unavailable, VersionGone
 from limpethollow_wire.peers import Acknowledgement, Records
 from limpethollow_wire.searches import (
@@ -72,7 +72,7 @@
         self._parts = parts
         self._metrics = metrics
         self._silent = SilentOwners()
-        self._hedges = ShareBudget(_HEDGE_SHARE, _HEDGE_RESERVE)
+        self._hedges = RatioBudget(_HEDGE_SHARE, _HEDGE_RESERVE)
         self._workers = ThreadPoolExecutor(_WORKERS, thread_name_prefix="owners")
         # Work of one pool must not wait for work of the same pool: all threads might be waiting.
         self._group_workers = ThreadPoolExecutor(_WORKERS, thread_name_prefix="groups")
@@ -176,7 +176,7 @@
     def _next_if_overdue(self, plan: ForwardPlan, deadline: float) -> str | None:
         now = time.monotonic()
         require_time(deadline + GRACE_SECONDS - now)
-        owner = plan.overdue(now, self._hedges.available)
+        owner = plan.next_hedge(now, self._hedges.available)
         if owner is not None:
             self._hedges.spend()
             self._metrics.count("forwards_hedged", "silent_owner")
--- a/packages/limpethollow-node/src/limpethollow_node/request/parts.py
+++ b/packages/limpethollow-node/src/limpethollow_node/request/parts.py
@@ -12,7 +12,7 @@
 from limpethollow_node.process.configs import ConfigKeeper
 from limpethollow_node.process.groups import LocalGroup, LocalGroups
 from limpethollow_policy.request.events import Search
-from limpethollow_policy.version.groups import GroupCuts
+from limpethollow_policy.version.groups import GroupCache
 from limpethollow_wire.exceptions import DeadlinePassed, LimpethollowError, Unavailable, VersionGone
 from limpethollow_wire.searches import GroupAnswer, GroupSearch, GroupVersions, ServableVersions
 from limpethollow_wire.services import ServiceRecord
@@ -34,7 +34,7 @@
         cuts: How services are cut into groups.
     """
 
-    def __init__(self, configs: ConfigKeeper, groups: LocalGroups, cuts: GroupCuts) -> None:
+    def __init__(self, configs: ConfigKeeper, groups: LocalGroups, cuts: GroupCache) -> None:
         self._configs = configs
         self._groups = groups
         self._cuts = cuts
--- a/packages/limpethollow-node/src/limpethollow_node/request/peers.py
+++ b/packages/limpethollow-node/src/limpethollow_node/request/peers.py
@@ -122,7 +122,7 @@
 
 @peer_request("searcher.drain", DrainNotice)
 def _drain(context: PeerContext, body: DrainNotice) -> Any:
-    context.groups.drain_noted(body)
+    context.groups.drain_reported(body)
     return Acknowledgement()
 
 
--- a/packages/limpethollow-node/src/limpethollow_node/request/searches.py
+++ b/packages/limpethollow-node/src/limpethollow_node/request/searches.py
@@ -17,8 +17,8 @@
 from limpethollow_node.process.metrics import Metrics
 from limpethollow_node.request.owners import OwnerLinks
 from limpethollow_node.request.parts import RETRY_AFTER, GroupParts
-from limpethollow_policy.request.merges import choose_across, merge_answers
-from limpethollow_policy.version.groups import GroupCuts
+from limpethollow_policy.request.merges import choose_common_version, merge_answers
+from limpethollow_policy.version.groups import GroupCache
 from limpethollow_wire.exceptions import (
     BadRequest,
     CoverageTooLow,
@@ -105,7 +105,7 @@
     ) -> None:
         self._configs = configs
         self._metrics = metrics
-        self._cuts = GroupCuts()
+        self._cuts = GroupCache()
         self._parts = GroupParts(configs, groups, self._cuts)
         self._owners = OwnerLinks(own_id, configs, members, links, self._parts, metrics)
 
@@ -187,7 +187,7 @@
         servable = {i: a for i, a in known.items() if isinstance(a, ServableVersions)}
         if not servable:
             raise next(a for a in known.values() if isinstance(a, LimpethollowError))
-        pinned, able = choose_across(scatter.wanted, servable, scatter.spec.epoch)
+        pinned, able = choose_common_version(scatter.wanted, servable, scatter.spec.epoch)
         absent = {i: getattr(known[i], "code", _VERSION_GONE) for i in scatter.wanted.keys() - able}
         return self._merge(scatter, self._search_groups(scatter, able, pinned), absent)
 
--- a/packages/limpethollow-node/src/limpethollow_node/version/planners.py
+++ b/packages/limpethollow-node/src/limpethollow_node/version/planners.py
@@ -14,11 +14,11 @@
     PlanName,
     StoredService,
     Verdict,
-    intended_name,
+    intent_service_name,
     is_open,
     judge,
     make_plan,
-    value_after,
+    value_to_write,
 )
 from limpethollow_wire.codecs import convert, to_plain
 from limpethollow_wire.exceptions import BadRequest, Conflict, NotFound, Unavailable
@@ -68,7 +68,7 @@
             BadRequest: The intent can't be met as stated.
             Unavailable: The platform can't be reached.
         """
-        service = intended_name(intent)
+        service = intent_service_name(intent)
         stored = self._stored(service)
         current = record_of(stored) if stored else None
         name, version = self._free_slot(service, current.version if current else 0)
@@ -172,7 +172,7 @@
                 return ServiceRecord(plan.service, plan.base_version, plan.spec), plan.base_version
             case Verdict.STALE:
                 self._refuse(plan, service.version)
-        value = value_after(plan, service)
+        value = value_to_write(plan, service)
         try:
             written_now = self._platform.write(SERVICE_KIND, plan.service, value, plan.base_version)
         except Conflict:
--- a/packages/limpethollow-policy/src/limpethollow_policy/connection/budgets.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/connection/connection_limits.py
@@ -5,7 +5,7 @@
 
 from limpethollow_wire.services import SearcherSpec
 
-DISAGREEING_OWNERS = 4
+MAX_CONCURRENT_OWNERS = 4
 IDLE_SECONDS = 15.0
 CLOSING_SECONDS = 0.25
 
@@ -16,7 +16,7 @@
     Instances with different member lists may own the same group at the same time. Each may use a
     quarter of the searcher's limit, so four such owners stay within it.
     """
-    return max(1, searcher.connections // DISAGREEING_OWNERS)
+    return max(1, searcher.connections // MAX_CONCURRENT_OWNERS)
 
 
 def slots_per_owner(searcher: SearcherSpec, owners: int) -> int:
@@ -43,21 +43,21 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Reuse:
+class ReuseConnection:
     """Send the call on an open connection."""
 
     number: int
 
 
 @dataclass(slots=True, frozen=True)
-class Open:
+class OpenConnection:
     """Open a new connection, identified by this number."""
 
     number: int
 
 
 @dataclass(slots=True, frozen=True)
-class Full:
+class WaitForConnection:
     """Wait until a connection is returned or until this monotonic second, then ask again."""
 
     until: float
@@ -71,7 +71,7 @@
     counted_until: float = 0.0
 
 
-class ConnectionBook:
+class ConnectionTracker:
     """Assigns connections to the calls to one searcher, and decides which to close.
 
     The searcher never counts more than `limit` connections: one that was closed locally remains
@@ -95,7 +95,9 @@
     def __len__(self) -> int:
         return len(self._connections)
 
-    def take(self, now: float, *, control: bool = False) -> Reuse | Open | Full:
+    def take(
+        self, now: float, *, control: bool = False
+    ) -> ReuseConnection | OpenConnection | WaitForConnection:
         """Choose a connection for a call.
 
         Args:
@@ -105,18 +107,18 @@
         """
         self._remove_closed(now)
         if not control and self._busy_call_connections() >= max(self.limit - 1, 1):
-            return Full(self._next_release(now))
+            return WaitForConnection(self._next_release(now))
         idle = [(c.last_success, n) for n, c in self._connections.items() if _is_idle(c)]
         if idle:
             number = max(idle)[1]
             self._connections[number].state = ConnectionState.BUSY
             self._connections[number].control = control
-            return Reuse(number)
+            return ReuseConnection(number)
         if len(self._connections) >= self.limit:
-            return Full(self._next_release(now))
+            return WaitForConnection(self._next_release(now))
         self._next += 1
         self._connections[self._next] = _Connection(ConnectionState.BUSY, control, now)
-        return Open(self._next)
+        return OpenConnection(self._next)
 
     def returned(self, number: int, now: float) -> None:
         """Mark a connection idle after its call received a complete reply."""
@@ -125,7 +127,7 @@
         connection.control = False
         connection.last_success = now
 
-    def not_opened(self, number: int) -> None:
+    def connect_failed(self, number: int) -> None:
         """Remove a connection that could not be established."""
         del self._connections[number]
 
--- a/packages/limpethollow-policy/src/limpethollow_policy/connection/drains.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/connection/drains.py
@@ -7,28 +7,28 @@
    by another instance carry their age, so a delayed notice does not override a newer reply.
 3. The platform's list. It lags, but may also be the first to know: a reply from before the listing
    does not override it. It is overridden only if the searcher has since been seen to leave and
-   come back, or still reports that it is staying `LIST_BELIEVED_SECONDS` after the listing.
+   come back, or still reports that it is staying `LISTING_TRUSTED_SECONDS` after the listing.
 
 Health and load endpoints are not used: they lag and can be misleading.
 """
 
 from dataclasses import dataclass
 
-LIST_BELIEVED_SECONDS = 30.0
+LISTING_TRUSTED_SECONDS = 30.0
 PROBE_SECONDS = 1.0
 
 
 @dataclass(slots=True, frozen=True)
-class DrainWord:
+class DrainReport:
     """A searcher's report of whether it is draining.
 
     Attributes:
         draining: The reported state.
-        said_at: Local monotonic second at which the searcher reported it.
+        reported_at: Local monotonic second at which the searcher reported it.
     """
 
     draining: bool
-    said_at: float
+    reported_at: float
 
 
 class DrainEvidence:
@@ -42,13 +42,13 @@
 
     def __init__(self, configured: bool) -> None:
         self.configured = configured
-        self._latest = DrainWord(False, float("-inf"))
+        self._latest = DrainReport(False, float("-inf"))
         self._listed_at: float | None = None
         self._seen_leaving = False
         self._probed_at = float("-inf")
 
     @property
-    def word(self) -> DrainWord:
+    def word(self) -> DrainReport:
         """The searcher's most recent report."""
         return self._latest
 
@@ -56,19 +56,19 @@
         """Return whether the searcher must get no new work."""
         return self.configured or self._latest.draining or self._listed_at is not None
 
-    def said(self, draining: bool, said_at: float) -> bool:
+    def said(self, draining: bool, reported_at: float) -> bool:
         """Process the searcher's report, from its own reply or from another instance's notice.
 
         Returns:
             Whether the reported state changed, so that other instances should be notified.
         """
-        if said_at < self._latest.said_at:
+        if reported_at < self._latest.reported_at:
             return False
         changed = draining != self._latest.draining
-        self._latest = DrainWord(draining, said_at)
+        self._latest = DrainReport(draining, reported_at)
         if draining:
             self._seen_leaving = True
-        elif self._listed_at is not None and self._overrides_list(said_at):
+        elif self._listed_at is not None and self._overrides_list(reported_at):
             self._listed_at = None
         return changed
 
@@ -91,6 +91,6 @@
         self._probed_at = now
         return True
 
-    def _overrides_list(self, said_at: float) -> bool:
+    def _overrides_list(self, reported_at: float) -> bool:
         assert self._listed_at is not None
-        return self._seen_leaving or said_at >= self._listed_at + LIST_BELIEVED_SECONDS
+        return self._seen_leaving or reported_at >= self._listed_at + LISTING_TRUSTED_SECONDS
--- a/packages/limpethollow-policy/src/limpethollow_policy/connection/links.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/connection/links.py
@@ -34,7 +34,7 @@
         return self._last_frame_at < sent_at
 
 
-class Dialling:
+class DialBackoff:
     """Limits the rate of connection attempts to a peer by backoff.
 
     Requests that wait for a failed attempt fail with it. Otherwise each would make its own attempt
@@ -65,7 +65,7 @@
         self._not_before = float("-inf")
 
 
-class OpenRequests:
+class PeerRequestLimiter:
     """Limits the number of concurrent requests from each peer.
 
     Otherwise a single peer with slow requests could occupy every thread and delay the requests of
--- a/packages/limpethollow-policy/src/limpethollow_policy/connection/searchers.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/connection/searchers.py
@@ -131,9 +131,9 @@
         """Release the call's slot."""
         self._in_flight.pop(call_id, None)
 
-    def drain_noted(self, draining: bool, said_at: float) -> None:
+    def drain_reported(self, draining: bool, reported_at: float) -> None:
         """Process a drain report that another instance received from the searcher."""
-        self._drain.said(draining, said_at)
+        self._drain.said(draining, reported_at)
 
     def drain_listed(self, draining: bool, now: float) -> None:
         """Process the drain state in the platform's list."""
@@ -172,7 +172,7 @@
             self._latency_at = now
         return changed
 
-    def cut_short(self, age: float, now: float) -> None:
+    def call_cancelled(self, age: float, now: float) -> None:
         """Record that a call was cancelled `age` seconds after its start, without a reply.
 
         Usually its hedge answered first. If such calls were ignored, a straggler whose calls always
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/answers.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/answers.py
@@ -2,7 +2,7 @@
 
 from limpethollow_policy.process.replicas import ReplicaSet
 from limpethollow_policy.process.waits import WaitEstimate
-from limpethollow_policy.request.events import Complete, Refuse
+from limpethollow_policy.request.events import Complete, FailSearch
 from limpethollow_policy.request.gathers import Gather
 from limpethollow_wire.exceptions import (
     CoverageTooLow,
@@ -34,7 +34,7 @@
         self._replicas = replicas
         self._waits = waits
 
-    def conclude(self, gather: Gather, reason: str, now: float) -> Complete | Refuse:
+    def conclude(self, gather: Gather, reason: str, now: float) -> Complete | FailSearch:
         """Return a search's final answer.
 
         Args:
@@ -44,15 +44,15 @@
         """
         search = gather.search
         if not gather.is_pinned or search.versions_only:
-            return Refuse(search.id, self._no_snapshot_error(gather, now))
+            return FailSearch(search.id, self._no_snapshot_error(gather, now))
         if search.pinned is not None and "version_gone" in gather.failures.values():
-            return Refuse(
+            return FailSearch(
                 search.id,
                 VersionGone(f"Version {search.pinned} is no longer available on a shard."),
             )
         if gather.is_answerable:
             return Complete(search.id, gather.answer(reason))
-        return Refuse(search.id, self._coverage_error(gather, reason, now))
+        return FailSearch(search.id, self._coverage_error(gather, reason, now))
 
     def overloaded(self, firm: str, reason: str, now: float) -> Overloaded:
         """Return the error of a search that was never started.
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/repeats.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/repeats.py
@@ -1,7 +1,7 @@
 """Decides when calls are hedged, timed out and retried, within budgets."""
 
 from limpethollow_policy.request.gathers import Gather
-from limpethollow_policy.request.hedges import LatencyWindow, ShareBudget
+from limpethollow_policy.request.hedges import LatencyWindow, RatioBudget
 from limpethollow_wire.services import HedgePolicy
 
 _RETRY_RATIO = 0.1
@@ -27,8 +27,8 @@
         self._policy = policy
         self._latencies = LatencyWindow()
         self._longest_cut_short = 0.0
-        self._hedge_budget = ShareBudget(policy.budget, _HEDGE_RESERVE)
-        self._retry_budget = ShareBudget(_RETRY_RATIO, _RETRY_RESERVE)
+        self._hedge_budget = RatioBudget(policy.budget, _HEDGE_RESERVE)
+        self._retry_budget = RatioBudget(_RETRY_RATIO, _RETRY_RESERVE)
 
     @property
     def may_hedge(self) -> bool:
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/replicas.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/replicas.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from limpethollow_policy.connection.budgets import slots_per_owner
+from limpethollow_policy.connection.connection_limits import slots_per_owner
 from limpethollow_policy.connection.searchers import SearcherState
 from limpethollow_policy.process.choices import Candidate, find_choice
 from limpethollow_policy.request.gathers import Gather, Snapshot
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/schedulers.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/schedulers.py
@@ -14,13 +14,13 @@
 from limpethollow_policy.process.waits import WaitEstimate, queue_for
 from limpethollow_policy.request.events import (
     Action,
+    CompleteVersions,
+    FailSearch,
     Failure,
-    Refuse,
+    NotifyDrain,
+    ScheduleTick,
     Search,
-    Servable,
     SlotRequest,
-    TellDrain,
-    WakeAt,
 )
 from limpethollow_policy.request.gathers import Gather
 from limpethollow_policy.request.outboxes import Outbox
@@ -101,7 +101,10 @@
         return self._run(now)
 
     def search_arrived(self, search: Search, now: float) -> list[Action]:
-        """Process a new search; exactly one `Complete`, `Servable` or `Refuse` answers it."""
+        """Process a new search.
+
+        Exactly one `Complete`, `CompleteVersions` or `FailSearch` answers it.
+        """
         gather = Gather(search, self._spec.objective, now)
         self._probe_leaving_searchers(now)
         if search.deadline <= now:
@@ -137,10 +140,10 @@
         latency = now - call.started
         measured = None if call.is_inventory or call.cancelled else latency
         if self._replicas.answered(call.searcher, reply, measured, now):
-            self._outbox.add(TellDrain(call.searcher.spec.id, reply.draining))
+            self._outbox.add(NotifyDrain(call.searcher.spec.id, reply.draining))
             self._outbox.count("searcher_drains", "left" if reply.draining else "back")
         if call.cancelled:
-            call.searcher.cut_short(latency, now)
+            call.searcher.call_cancelled(latency, now)
             self._repeats.call_cut_short(latency)
         elif not call.is_inventory:
             self._repeats.call_answered(latency)
@@ -156,7 +159,7 @@
             return []
         call.searcher.failed(failure, retry_after, now)
         if failure is Failure.CANCELLED:
-            call.searcher.cut_short(now - call.started, now)
+            call.searcher.call_cancelled(now - call.started, now)
         if failure is Failure.TIMEOUT and not call.is_inventory:
             self._repeats.call_cut_short(now - call.started)
         self._sender.take_failure(call, failure, now)
@@ -175,8 +178,8 @@
         self._slots.released(request_id, failure, retry_after, now)
         return self._run(now)
 
-    def drain_noted(
-        self, searcher_id: str, draining: bool, said_at: float, listed: bool, now: float
+    def drain_reported(
+        self, searcher_id: str, draining: bool, reported_at: float, listed: bool, now: float
     ) -> list[Action]:
         """Process a drain notice from another instance or from the platform's list."""
         if searcher_id in self._replicas:
@@ -184,7 +187,7 @@
             if listed:
                 self._replicas[searcher_id].drain_listed(draining, now)
             else:
-                self._replicas[searcher_id].drain_noted(draining, said_at)
+                self._replicas[searcher_id].drain_reported(draining, reported_at)
         return self._run(now)
 
     def tick(self, now: float) -> list[Action]:
@@ -213,7 +216,7 @@
                 return
             self._sender.fill(gather)
         self._give_up_unservable(gather, now)
-        is_over = gather.is_pinned and (gather.is_finished or gather.is_lost)
+        is_over = gather.is_pinned and (gather.is_finished or gather.floor_unreachable)
         if is_over and gather.search.id in self._active:
             self._answer(gather, "floor_missed", now)
 
@@ -306,7 +309,9 @@
 
     def _answer_versions(self, search: Search, now: float) -> None:
         versions = self._replicas.pinnable(search.shards, search.min_version, now)
-        self._outbox.add(Servable(search.id, ServableVersions(self._replicas.epoch, versions)))
+        self._outbox.add(
+            CompleteVersions(search.id, ServableVersions(self._replicas.epoch, versions))
+        )
         self._finish(search.id)
 
     def _give_up_unservable(self, gather: Gather, now: float) -> None:
@@ -348,7 +353,7 @@
         """Make the coordinator restart a search, since it knows the current shards."""
         self._outbox.count("search_restarts", "repartition")
         message = "The service was repartitioned while the search was running."
-        self._outbox.add(Refuse(gather.search.id, VersionGone(message)))
+        self._outbox.add(FailSearch(gather.search.id, VersionGone(message)))
         self._finish(gather.search.id)
 
     def _restart(self, gather: Gather, now: float) -> bool:
@@ -386,14 +391,14 @@
     def _answer(self, gather: Gather, reason: str, now: float) -> None:
         """Send a search its final answer, or the typed error that explains why there is none."""
         verdict = self._verdicts.conclude(gather, reason, now)
-        if isinstance(verdict, Refuse):
+        if isinstance(verdict, FailSearch):
             self._refuse(gather, verdict.error)
         else:
             self._outbox.add(verdict)
         self._finish(gather.search.id)
 
     def _refuse(self, gather: Gather, error: LimpethollowError) -> None:
-        self._outbox.add(Refuse(gather.search.id, error))
+        self._outbox.add(FailSearch(gather.search.id, error))
         self._outbox.count("searches_refused", error.code)
 
     def _refuse_overload(self, gather: Gather, reason: str, now: float) -> None:
@@ -411,7 +416,7 @@
         times += self._slots.deadlines()
         future = [at for at in times if at > now]
         if future:
-            self._outbox.add(WakeAt(min(future)))
+            self._outbox.add(ScheduleTick(min(future)))
 
     def _search_wake_times(self, now: float) -> list[float]:
         times = [self._repeats.latest_start(gather) for gather in self._queue]
--- a/packages/limpethollow-policy/src/limpethollow_policy/request/booking_events.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/request/booking_events.py
@@ -76,7 +76,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Woken:
+class WakeUpDue:
     """The time requested by `WakeUp` has come."""
 
 
@@ -87,12 +87,12 @@
     | DispatchFailed
     | LookUpAnswered
     | LookUpFailed
-    | Woken
+    | WakeUpDue
 )
 
 
 @dataclass(slots=True, frozen=True)
-class TakeSlot:
+class RequestSlot:
     """Request a slot from the group; answered by `SlotGranted` or `SlotDenied`.
 
     Attributes:
@@ -142,7 +142,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WakeUp:
-    """Deliver `Woken` at this monotonic second."""
+    """Deliver `WakeUpDue` at this monotonic second."""
 
     when: float
 
@@ -155,8 +155,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Stop:
+class DiscardRun:
     """Discard the run with its outcome unknown; from now on only the searchers are asked for it."""
 
 
-BookingAction = TakeSlot | ReleaseSlot | Dispatch | LookUp | WakeUp | Tell | Stop | Count
+BookingAction = RequestSlot | ReleaseSlot | Dispatch | LookUp | WakeUp | Tell | DiscardRun | Count
--- a/packages/limpethollow-policy/src/limpethollow_policy/request/booking_periods.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/request/booking_periods.py
@@ -16,6 +16,6 @@
     return max(0, int(age // PERIOD_SECONDS))
 
 
-def seconds_to_next(age: float) -> float:
+def seconds_to_next_period(age: float) -> float:
     """Return the seconds until the next issue period starts."""
     return (period_at(age) + 1) * PERIOD_SECONDS - age
--- a/packages/limpethollow-policy/src/limpethollow_policy/request/booking_placements.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/request/booking_placements.py
@@ -11,7 +11,7 @@
 _MAX_KEPT_PER_SERVICE = 4
 
 
-def placement_of(spec: ServiceSpec) -> str:
+def placement_digest(spec: ServiceSpec) -> str:
     """Return a digest of a service's partition epoch and its searchers' ids, addresses and shards.
 
     A token carries the digest that was in force when it was issued, and is dispatched only to
@@ -23,7 +23,7 @@
     return blake2b(data, digest_size=_DIGEST_BYTES).hexdigest()
 
 
-class Placements:
+class PlacementHistory:
     """Keeps the most recent placements of every service.
 
     A token that was issued shortly before a searcher was added can thus still be resolved
@@ -47,7 +47,7 @@
         version, placement = self._current.get(record.name, (0, ""))
         if version != record.version:
             assert record.spec is not None
-            placement = placement_of(record.spec)
+            placement = placement_digest(record.spec)
             self._current[record.name] = (record.version, placement)
             self._keep(record.spec, placement)
         return placement
--- a/packages/limpethollow-policy/src/limpethollow_policy/request/booking_runs.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/request/booking_runs.py
@@ -3,6 +3,7 @@
 from limpethollow_policy.request.booking_events import (
     BookingAction,
     BookingEvent,
+    DiscardRun,
     Dispatch,
     DispatchAnswered,
     DispatchFailed,
@@ -10,13 +11,12 @@
     LookUpAnswered,
     LookUpFailed,
     ReleaseSlot,
+    RequestSlot,
     SlotDenied,
     SlotGranted,
-    Stop,
-    TakeSlot,
     Tell,
     WakeUp,
-    Woken,
+    WakeUpDue,
 )
 from limpethollow_policy.request.events import Count, Failure
 from limpethollow_wire.bookings import (
@@ -26,7 +26,7 @@
     SearcherBookingReply,
 )
 
-PROOF_OF_NOT_RUN = frozenset({Failure.REFUSED, Failure.SHED})
+NOT_RUN_FAILURES = frozenset({Failure.REFUSED, Failure.SHED})
 MAX_DISPATCHES = 8
 
 _INITIAL_BACKOFF = 0.05
@@ -88,7 +88,7 @@
         return self._outcome
 
     @property
-    def lost_at(self) -> str:
+    def unresolved_searcher(self) -> str:
         """Searcher of the dispatch whose outcome is unknown, empty if there is none."""
         return self._dispatched_to if self._outcome_unknown else ""
 
@@ -111,21 +111,25 @@
                 if self._is_dispatched(event.attempt):
                     return self._dispatch_failed(event, now)
             case LookUpAnswered(searcher_id, reply):
-                if searcher_id == self.lost_at and not self._is_final:
+                if searcher_id == self.unresolved_searcher and not self._is_final:
                     return self._searcher_replied(reply, now)
             case LookUpFailed(searcher_id, failure):
-                if searcher_id == self.lost_at and not self._is_final:
+                if searcher_id == self.unresolved_searcher and not self._is_final:
                     return [
                         Count("booking_look_up_failures", failure),
                         *self._schedule_look_up(now),
                     ]
-            case Woken():
+            case WakeUpDue():
                 return self._woken(now)
         return []
 
     def asked(self) -> list[BookingAction]:
         """Look up an unknown outcome immediately, at a caller's request."""
-        return [LookUp(self.lost_at)] if self.lost_at and not self._is_final else []
+        return (
+            [LookUp(self.unresolved_searcher)]
+            if self.unresolved_searcher and not self._is_final
+            else []
+        )
 
     @property
     def _is_final(self) -> bool:
@@ -143,7 +147,7 @@
         if self._attempt >= MAX_DISPATCHES:
             return self._finish_not_run("dispatches_failed", _RETRY_AFTER_SECONDS)
         self._attempt += 1
-        return [TakeSlot(self._attempt, self._deadline, self._proved_searchers)]
+        return [RequestSlot(self._attempt, self._deadline, self._proved_searchers)]
 
     def _granted(self, event: SlotGranted, now: float) -> list[BookingAction]:
         if not self._is_current(event.attempt) or self._dispatched_to:
@@ -167,7 +171,7 @@
             ReleaseSlot(event.attempt, event.failure, event.retry_after),
             Count("booking_dispatch_failures", event.failure),
         ]
-        if event.failure in PROOF_OF_NOT_RUN:
+        if event.failure in NOT_RUN_FAILURES:
             return actions + self._continue_after_not_run(now)
         self._outcome_unknown = True
         self._set_outcome(OutcomeState.UNKNOWN, reason=event.failure)
@@ -206,7 +210,7 @@
         if now >= self._deadline and not self._callers_notified:
             actions += self._notify_callers()
         if now >= self._look_up_until:
-            return [*actions, Stop()]
+            return [*actions, DiscardRun()]
         if self._wake_up_pending:
             return actions
         self._wake_up_pending = True
@@ -219,12 +223,12 @@
 
     def _woken(self, now: float) -> list[BookingAction]:
         self._wake_up_pending = False
-        if not self.lost_at or self._is_final:
+        if not self.unresolved_searcher or self._is_final:
             return []
         actions: list[BookingAction] = []
         if now >= self._deadline and not self._callers_notified:
             actions += self._notify_callers()
-        return [*actions, LookUp(self.lost_at)]
+        return [*actions, LookUp(self.unresolved_searcher)]
 
     def _finish_not_run(self, reason: str, retry_after: float | None) -> list[BookingAction]:
         self._set_outcome(OutcomeState.NOT_RUN, reason, retry_after)
--- a/packages/limpethollow-policy/src/limpethollow_policy/request/bookings.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/request/bookings.py
@@ -5,7 +5,11 @@
 
 import msgspec
 
-from limpethollow_policy.request.booking_periods import PERIOD_SECONDS, period_at, seconds_to_next
+from limpethollow_policy.request.booking_periods import (
+    PERIOD_SECONDS,
+    period_at,
+    seconds_to_next_period,
+)
 from limpethollow_policy.request.booking_runs import BookingRun
 from limpethollow_wire.bookings import BookingOutcome, BookingToken, OutcomeState
 from limpethollow_wire.exceptions import BadRequest, TokenReused
@@ -165,7 +169,7 @@
             return verdict
         if not self._make_room(token, now):
             return Verdict.FULL
-        outcome = never_run(token, Verdict.VOIDED)
+        outcome = not_run_outcome(token, Verdict.VOIDED)
         self._add(token, LedgerEntry(owner, b"", None, outcome))
         return Verdict.VOIDED
 
@@ -191,7 +195,7 @@
 
     def retry_after(self, now: float) -> float:
         """Return the seconds until the next period, whose tokens may be accepted again."""
-        return seconds_to_next(now - self._started)
+        return seconds_to_next_period(now - self._started)
 
     def seconds_kept(self, token: BookingToken, now: float) -> float:
         """Return how many seconds the entry of this token is kept, if memory allows."""
@@ -253,6 +257,6 @@
         self._bytes += entry.bytes
 
 
-def never_run(token: BookingToken, verdict: Verdict) -> BookingOutcome:
+def not_run_outcome(token: BookingToken, verdict: Verdict) -> BookingOutcome:
     """Return the outcome of a token that has not been run and never will be."""
     return BookingOutcome(str(token), OutcomeState.NOT_RUN, retry_after=0.0, reason=verdict)
--- a/packages/limpethollow-policy/src/limpethollow_policy/request/crashguards.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/request/crash_guards.py
@@ -87,7 +87,7 @@
         return self.standing is Standing.QUARANTINED
 
     @property
-    def wants_trials(self) -> bool:
+    def needs_trial(self) -> bool:
         """Return whether a searcher's crash during a send would count against the request.
 
         The first loss does not count: it may be that of a reused connection, whose searcher was
@@ -113,7 +113,7 @@
             searcher: Identifies the process of the searcher.
             doubtful: Whether the searcher may already be down, so that its loss proves nothing.
         """
-        if self._trial_searcher is not None or not self.wants_trials:
+        if self._trial_searcher is not None or not self.needs_trial:
             return False
         self._trial_searcher = searcher
         self._is_trial_conclusive = not doubtful
--- a/packages/limpethollow-policy/src/limpethollow_policy/request/events.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/request/events.py
@@ -92,7 +92,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Servable:
+class CompleteVersions:
     """Return the servable index versions to a search that requested them."""
 
     search_id: str
@@ -100,7 +100,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Refuse:
+class FailSearch:
     """Fail a search with a typed error."""
 
     search_id: str
@@ -143,7 +143,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class TellDrain:
+class NotifyDrain:
     """Notify the other owners of the group that a searcher is draining, or is back."""
 
     searcher_id: str
@@ -151,7 +151,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class WakeAt:
+class ScheduleTick:
     """Call `tick` at this monotonic second."""
 
     when: float
@@ -169,11 +169,11 @@
     StartCall
     | CancelCall
     | Complete
-    | Servable
-    | Refuse
+    | CompleteVersions
+    | FailSearch
     | GrantSlot
     | DenySlot
-    | TellDrain
-    | WakeAt
+    | NotifyDrain
+    | ScheduleTick
     | Count
 )
--- a/packages/limpethollow-policy/src/limpethollow_policy/request/forwards.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/request/forwards.py
@@ -39,11 +39,11 @@
         return self._next() if now < deadline else None
 
     def patience(self, now: float, deadline: float) -> float:
-        """Return the seconds to wait before calling `overdue`, or until the deadline."""
+        """Return the seconds to wait before calling `next_hedge`, or until the deadline."""
         until = deadline if self._hedged else min(self._hedge_at, deadline)
         return max(until - now, 0.0)
 
-    def overdue(self, now: float, may_hedge: bool) -> str | None:
+    def next_hedge(self, now: float, may_hedge: bool) -> str | None:
         """Return an owner to send the hedge to if one is due, None if there is none.
 
         Args:
--- a/packages/limpethollow-policy/src/limpethollow_policy/request/gathers.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/request/gathers.py
@@ -110,7 +110,7 @@
         return self.is_pinned and not self._open
 
     @property
-    def is_lost(self) -> bool:
+    def floor_unreachable(self) -> bool:
         """Whether too many shards have been given up for the answer to reach the required floor."""
         return self._fraction(len(self.search.shards) - len(self.failures)) < self._error_floor
 
--- a/packages/limpethollow-policy/src/limpethollow_policy/request/hedges.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/request/hedges.py
@@ -42,7 +42,7 @@
         return self._sorted[index]
 
 
-class ShareBudget:
+class RatioBudget:
     """Token bucket that limits an action to a share of the calls made, plus a small reserve.
 
     Without a budget, hedges and retries increase with failures and add load when searchers have the
--- a/packages/limpethollow-policy/src/limpethollow_policy/request/merges.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/request/merges.py
@@ -3,11 +3,11 @@
 from limpethollow_wire.exceptions import LimpethollowError, VersionGone
 from limpethollow_wire.searches import Coverage, GroupAnswer, MissingShard, Part, ServableVersions
 
-Wanted = dict[int, tuple[int, ...]]
+ShardsByGroup = dict[int, tuple[int, ...]]
 
 
-def choose_across(
-    wanted: Wanted, known: dict[int, ServableVersions], epoch: int
+def choose_common_version(
+    wanted: ShardsByGroup, known: dict[int, ServableVersions], epoch: int
 ) -> tuple[int, frozenset[int]]:
     """Choose the index version of a search over several groups.
 
@@ -38,7 +38,7 @@
 
 
 def merge_answers(
-    wanted: Wanted,
+    wanted: ShardsByGroup,
     answers: dict[int, GroupAnswer | LimpethollowError],
     absent: dict[int, str] | None = None,
 ) -> tuple[Coverage, tuple[Part, ...]]:
--- a/packages/limpethollow-policy/src/limpethollow_policy/request/verdicts.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/request/verdicts.py
@@ -28,7 +28,7 @@
     UNKNOWN = "unknown"
 
 
-def judge_reply(
+def classify_reply(
     status: int, *, own_id: bool, proved: bool, not_run: bool, encoded: bool
 ) -> Verdict:
     """Classify a complete reply.
@@ -55,7 +55,7 @@
     return Verdict.FAILED
 
 
-def may_pass_on(status: int, *, idempotent: bool) -> bool:
+def may_return_failure(status: int, *, idempotent: bool) -> bool:
     """Return whether a failure without proof of "not run" may be passed to the caller unchanged.
 
     Args:
--- a/packages/limpethollow-policy/src/limpethollow_policy/version/groups.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/version/groups.py
@@ -20,7 +20,7 @@
     searchers: tuple[SearcherSpec, ...]
 
 
-class GroupCuts:
+class GroupCache:
     """Caches the groups of each service, so that they are not computed for every search."""
 
     __slots__ = ("_by_service",)
@@ -32,12 +32,12 @@
         """Return the groups of a record; empty for a tombstone."""
         version, groups = self._by_service.get(record.name, (-1, ()))
         if version != record.version:
-            groups = cut_groups(record.spec) if record.spec else ()
+            groups = partition_service(record.spec) if record.spec else ()
             self._by_service[record.name] = (record.version, groups)
         return groups
 
 
-def cut_groups(spec: ServiceSpec) -> tuple[Group, ...]:
+def partition_service(spec: ServiceSpec) -> tuple[Group, ...]:
     """Partition a service into groups.
 
     Shards that share a searcher, directly or through other shards, are placed in the same group, so
--- a/packages/limpethollow-policy/src/limpethollow_policy/version/plans.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/version/plans.py
@@ -8,14 +8,14 @@
 
 import msgspec
 
-from limpethollow_policy.connection.budgets import connections_per_searcher
-from limpethollow_policy.version.checks import check_policies
+from limpethollow_policy.connection.connection_limits import connections_per_searcher
+from limpethollow_policy.version.policy_checks import check_policies
 from limpethollow_wire.exceptions import BadRequest, NotFound
 from limpethollow_wire.plans import FieldChange, Intent, Plan, PlanEffect
 from limpethollow_wire.services import ServiceRecord, ServiceSpec
 
 PLAN_SLOTS = 8
-KEPT_WRITES = 16
+MAX_KEPT_WRITES = 16
 
 _SERVICE_NAME = re.compile(r"[a-z0-9-]{1,64}")
 _PLAN_NAME = re.compile(r"([a-z0-9-]{1,64})\.([0-9]{1,2})\.([0-9a-f]{24})")
@@ -99,7 +99,7 @@
     return Verdict.NOTHING if plan.action == "none" else Verdict.WRITE
 
 
-def value_after(plan: Plan, stored: StoredService) -> dict[str, Any]:
+def value_to_write(plan: Plan, stored: StoredService) -> dict[str, Any]:
     """Return the value to write in order to apply a plan.
 
     It includes the ids of earlier writes, so that an operator whose reply was lost can find their
@@ -111,7 +111,7 @@
     return {
         "spec": None if plan.spec is None else msgspec.to_builtins(plan.spec),
         "write_id": plan.id,
-        "earlier": earlier[-KEPT_WRITES:],
+        "earlier": earlier[-MAX_KEPT_WRITES:],
     }
 
 
@@ -120,7 +120,7 @@
     return plan.base_version >= current_version
 
 
-def intended_name(intent: Intent) -> str:
+def intent_service_name(intent: Intent) -> str:
     """Return the name of the service that an intent refers to.
 
     Raises:
@@ -147,7 +147,7 @@
         BadRequest: The intent has neither or both of `service` and `delete`, or its service is not
             valid.
     """
-    name = intended_name(intent)
+    name = intent_service_name(intent)
     wanted = intent.service
     if wanted is not None:
         wanted.check()
--- a/packages/limpethollow-policy/src/limpethollow_policy/version/routes.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/version/routes.py
@@ -48,7 +48,7 @@
     floor: float = 0.0
 
     @property
-    def least_parts(self) -> int:
+    def min_parts(self) -> int:
         """Return the minimum number of shards that an answer must cover."""
         # The tolerance compensates for floating-point error: a floor such as 0.55 of 100 shards
         # would otherwise require one more, since the product is slightly above 55.
@@ -149,7 +149,7 @@
         return None
 
 
-class VersionBook:
+class CurrentVersion:
     """The configuration version in force at this instance; it never decreases within a process.
 
     A delayed reply to an earlier read, or a lagging peer, may offer an older version after a newer
@@ -189,7 +189,7 @@
         return now - self._confirmed_at
 
 
-class WeightedTurns:
+class WeightedRoundRobin:
     """Distributes requests among a route's targets by smooth weighted round robin.
 
     For each request, every target's credit is increased by its weight; the target with the highest
--- a/tests/support/overload.py
+++ b/tests/support/overload.py
@@ -19,9 +19,9 @@
 from limpethollow_policy.process.searchers import Replica
 from limpethollow_policy.version.routes import (
     CallerLimits,
+    CurrentVersion,
     Route,
     RoutingVersion,
-    VersionBook,
     WeightedService,
 )
 from tests.support.searches import NoDesk, VirtualExchange
@@ -240,7 +240,7 @@
             call.write_to(ModelConnection(searchers[replica.searcher.id], loop, kinds))
 
         self.dispatch.on_send = carry
-        self.engine = Engine(self.dispatch, VersionBook())
+        self.engine = Engine(self.dispatch, CurrentVersion())
         self.engine.desk = NoDesk()
         routes = tuple(kind.route for kind in kinds)
         self.engine.use_version(RoutingVersion(1, routes, {}, CallerLimits()))
--- a/tests/unit/admission/test_baselines.py
+++ b/tests/unit/admission/test_baselines.py
@@ -6,7 +6,7 @@
 
 from limpethollow_policy.process.choices import Candidate, find_choice
 from limpethollow_policy.process.dispatches import find_dispatch
-from limpethollow_policy.version.checks import check_policies
+from limpethollow_policy.version.policy_checks import check_policies
 from limpethollow_wire.exceptions import BadRequest
 from limpethollow_wire.instances import InstanceInfo
 from limpethollow_wire.services import AdmissionPolicy, SearcherSpec, ServiceSpec
--- a/tests/unit/admission/test_starts.py
+++ b/tests/unit/admission/test_starts.py
@@ -1,6 +1,6 @@
 """When the scheduler starts a waiting search, and when it refuses it instead."""
 
-from limpethollow_policy.request.events import Refuse
+from limpethollow_policy.request.events import FailSearch
 from limpethollow_wire.services import AdmissionPolicy, CallerSpec, Objective
 from tests.unit.search.drivers import Driver, make_spec
 
@@ -31,7 +31,7 @@
 
 def refused(driver, search_id):
     final = driver.finals.get(search_id)
-    return final.error if isinstance(final, Refuse) else None
+    return final.error if isinstance(final, FailSearch) else None
 
 
 class TestStart:
--- a/tests/unit/bookings/test_guards.py
+++ b/tests/unit/bookings/test_guards.py
@@ -5,7 +5,12 @@
 from limpethollow_policy.request.booking_events import LookUpAnswered
 from limpethollow_policy.request.booking_periods import PERIOD_SECONDS
 from limpethollow_policy.request.booking_resolutions import Resolution
-from limpethollow_policy.request.bookings import ENTRY_BYTES, BookingLedger, Verdict, never_run
+from limpethollow_policy.request.bookings import (
+    ENTRY_BYTES,
+    BookingLedger,
+    Verdict,
+    not_run_outcome,
+)
 from limpethollow_policy.request.events import Failure
 from limpethollow_wire.bookings import BookingToken, OutcomeState, SearcherBookingReply
 from limpethollow_wire.exceptions import BadRequest, TokenReused
@@ -246,7 +251,7 @@
         assert Resolution(self.TOKEN, ()).outcome.state is OutcomeState.UNKNOWN
 
     def test_refusals_for_good_are_told_as_not_run(self):
-        assert never_run(self.TOKEN, Verdict.LEAVING).state is OutcomeState.NOT_RUN
+        assert not_run_outcome(self.TOKEN, Verdict.LEAVING).state is OutcomeState.NOT_RUN
 
 
 class TestToken:
--- a/tests/unit/bookings/worlds.py
+++ b/tests/unit/bookings/worlds.py
@@ -15,17 +15,17 @@
     LookUp,
     LookUpAnswered,
     LookUpFailed,
+    RequestSlot,
     SlotDenied,
     SlotGranted,
-    TakeSlot,
     Tell,
     WakeUp,
-    Woken,
+    WakeUpDue,
 )
 from limpethollow_policy.request.booking_periods import period_at
 from limpethollow_policy.request.booking_resolutions import Resolution
 from limpethollow_policy.request.booking_runs import BookingRun
-from limpethollow_policy.request.bookings import NEVER_RUN, BookingLedger, Verdict, never_run
+from limpethollow_policy.request.bookings import NEVER_RUN, BookingLedger, Verdict, not_run_outcome
 from limpethollow_policy.request.events import Failure
 from limpethollow_wire.bookings import (
     BookingOutcome,
@@ -164,7 +164,7 @@
             case Wake():
                 self.pending.remove(item)
                 self.now = max(self.now, item.when)
-                self._feed(item.executor, item.token, Woken())
+                self._feed(item.executor, item.token, WakeUpDue())
             case Call():
                 self._advance(item)
 
@@ -199,7 +199,7 @@
 
     def _answer(self, verdict: Verdict, token: BookingToken) -> None:
         if verdict in NEVER_RUN:
-            self.told[str(token)].append(never_run(token, verdict))
+            self.told[str(token)].append(not_run_outcome(token, verdict))
         elif verdict is Verdict.KNOWN:
             entry = self.executor.ledger.entry(token)
             self.told[str(token)].append(entry.known)
@@ -273,7 +273,7 @@
     def _carry_out(self, executor: Executor, token: BookingToken, actions: list) -> None:
         for action in actions:
             match action:
-                case TakeSlot(attempt):
+                case RequestSlot(attempt):
                     self.pending.append(Wish(executor, token, attempt))
                 case Dispatch(attempt, searcher):
                     self.pending.append(Call(token, searcher, executor, attempt=attempt))
--- a/tests/unit/configuration/test_plans.py
+++ b/tests/unit/configuration/test_plans.py
@@ -5,15 +5,15 @@
 import pytest
 
 from limpethollow_policy.version.plans import (
-    KEPT_WRITES,
+    MAX_KEPT_WRITES,
     PLAN_SLOTS,
     PlanName,
     StoredService,
     Verdict,
-    intended_name,
+    intent_service_name,
     judge,
     make_plan,
-    value_after,
+    value_to_write,
 )
 from limpethollow_wire.exceptions import BadRequest, NotFound
 from limpethollow_wire.plans import Intent
@@ -39,18 +39,18 @@
         With the last write id only, the operator would be told that nothing was changed.
         """
         first = plan(0)
-        stored = StoredService(5, value_after(first, StoredService(0, {})))
-        for number in range(1, KEPT_WRITES + 1):
+        stored = StoredService(5, value_to_write(first, StoredService(0, {})))
+        for number in range(1, MAX_KEPT_WRITES + 1):
             later = plan(number % PLAN_SLOTS, ServiceRecord("club", stored.version, spec()))
-            stored = StoredService(stored.version + 1, value_after(later, stored))
+            stored = StoredService(stored.version + 1, value_to_write(later, stored))
             assert stored.version_of(first.id) == 5
 
     def test_the_earlier_writes_kept_are_bounded(self):
         stored = StoredService(1, {"write_id": "w", "earlier": [["x", n] for n in range(99)]})
-        assert len(value_after(plan(0), stored)["earlier"]) == KEPT_WRITES
+        assert len(value_to_write(plan(0), stored)["earlier"]) == MAX_KEPT_WRITES
 
     def test_another_write_is_not_taken_for_ones_own(self):
-        stored = StoredService(5, value_after(plan(0), StoredService(0, {})))
+        stored = StoredService(5, value_to_write(plan(0), StoredService(0, {})))
         assert stored.version_of(plan(1).id) == 0
 
 
@@ -93,7 +93,7 @@
     @pytest.mark.parametrize("intent", [Intent(), Intent(delete="a/b"), Intent(delete="A")])
     def test_an_intent_must_name_a_service(self, intent):
         with pytest.raises(BadRequest):
-            intended_name(intent)
+            intent_service_name(intent)
 
 
 def in_domain(domain: str, evacuated: str) -> ServiceSpec:
--- a/tests/unit/engine/test_evacuations.py
+++ b/tests/unit/engine/test_evacuations.py
@@ -27,7 +27,7 @@
 from limpethollow_policy.process.searchers import Searcher
 from limpethollow_policy.process.sendbudgets import SendBudget
 from limpethollow_policy.request.verdicts import Verdict
-from limpethollow_policy.version.routes import ServiceLimits, VersionBook
+from limpethollow_policy.version.routes import CurrentVersion, ServiceLimits
 from tests.support.searches import SearchPlay, VirtualExchange
 from tests.support.virtual import VirtualDispatch, break_of, reply_of, request, route
 from tests.unit.engine.test_catalog import FakeRoster, FleetDispatch
@@ -171,7 +171,7 @@
 
 
 class FakeEngine:
-    versions = VersionBook()
+    versions = CurrentVersion()
 
 
 def catalog_of(dispatch: EvacuatingDispatch) -> Catalog:
--- a/tests/unit/engine/test_replies.py
+++ b/tests/unit/engine/test_replies.py
@@ -3,12 +3,12 @@
 import pytest
 
 from limpethollow_policy.request.records import merge_records
-from limpethollow_policy.request.verdicts import Verdict, judge_reply
+from limpethollow_policy.request.verdicts import Verdict, classify_reply
 
 
 def judge(status: int, **facts: bool) -> Verdict:
     usual = {"own_id": True, "proved": True, "not_run": False, "encoded": False}
-    return judge_reply(status, **{**usual, **facts})
+    return classify_reply(status, **{**usual, **facts})
 
 
 class TestVerdicts:
--- a/tests/unit/engine/test_routes.py
+++ b/tests/unit/engine/test_routes.py
@@ -4,12 +4,12 @@
 
 from limpethollow_policy.version.routes import (
     CallerLimits,
+    CurrentVersion,
     Route,
     RouteTable,
     RoutingVersion,
-    VersionBook,
+    WeightedRoundRobin,
     WeightedService,
-    WeightedTurns,
 )
 
 
@@ -61,7 +61,7 @@
     )
     def test_the_floor_is_rounded_up_to_whole_shards(self, floor, shards, expected):
         names = tuple(str(number) for number in range(shards))
-        assert route("/", shards=names, floor=floor).least_parts == expected
+        assert route("/", shards=names, floor=floor).min_parts == expected
 
 
 class TestVersionBook:
@@ -71,14 +71,14 @@
         The instance had version 7 from a peer. Its own slow read, begun earlier, then brought
         version 5, which lacked the route.
         """
-        book = VersionBook()
+        book = CurrentVersion()
         assert book.offer(version(7))
         assert not book.offer(version(5))
         assert not book.offer(version(7))
         assert book.current.number == 7
 
     def test_age_counts_from_the_last_confirmation(self):
-        book = VersionBook()
+        book = CurrentVersion()
         assert book.age(10.0) == float("inf")
         book.confirm(10.0)
         book.confirm(8.0)
@@ -87,13 +87,13 @@
 
 class TestWeightedTurns:
     def test_shares_follow_the_weights_within_one_request(self):
-        turns = WeightedTurns()
+        turns = WeightedRoundRobin()
         split = route("/", targets=(WeightedService("a", 7), WeightedService("b", 3)))
         dealt = [turns.next(split) for _ in range(50)]
         assert dealt.count("a") == 35
         assert dealt.count("b") == 15
 
     def test_a_target_without_weight_gets_nothing(self):
-        turns = WeightedTurns()
+        turns = WeightedRoundRobin()
         split = route("/", targets=(WeightedService("a", 1), WeightedService("b", 0)))
         assert {turns.next(split) for _ in range(20)} == {"a"}
--- a/tests/unit/engine/test_spreading.py
+++ b/tests/unit/engine/test_spreading.py
@@ -7,7 +7,7 @@
 from limpethollow_policy.process.beliefs import Belief, Step
 from limpethollow_policy.process.catchups import ANSWER_SECONDS, Known, Source, source_for
 from limpethollow_policy.process.revisions import Revision
-from limpethollow_policy.version.routes import CallerLimits, RoutingVersion, VersionBook
+from limpethollow_policy.version.routes import CallerLimits, CurrentVersion, RoutingVersion
 
 INSTANCES = 3
 instances = st.integers(0, INSTANCES - 1)
@@ -112,7 +112,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.newest = 0
-        self.books = [VersionBook() for _ in range(INSTANCES)]
+        self.books = [CurrentVersion() for _ in range(INSTANCES)]
         self.seen = [-1] * INSTANCES
 
     @rule(step=st.integers(1, 9))
@@ -128,7 +128,7 @@
 
     @rule(at=instances)
     def restarts(self, at):
-        self.books[at] = VersionBook()
+        self.books[at] = CurrentVersion()
         self.seen[at] = -1
 
     @invariant()
--- a/tests/unit/lifecycle/test_budgets.py
+++ b/tests/unit/lifecycle/test_budgets.py
@@ -3,18 +3,18 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from limpethollow_policy.connection.budgets import (
+from limpethollow_policy.connection.connection_limits import (
     CLOSING_SECONDS,
-    ConnectionBook,
-    Full,
-    Open,
-    Reuse,
+    ConnectionTracker,
+    OpenConnection,
+    ReuseConnection,
+    WaitForConnection,
     connections_per_searcher,
 )
 from limpethollow_wire.services import SearcherSpec
 
 
-def opened(book: ConnectionBook, count: int, now: float = 0.0) -> list[int]:
+def opened(book: ConnectionTracker, count: int, now: float = 0.0) -> list[int]:
     """Open connections that are all idle at the end."""
     numbers = [book.take(now).number for _ in range(count)]
     for number in numbers:
@@ -24,15 +24,15 @@
 
 class TestReuse:
     def test_the_connection_that_was_good_last_is_reused_first(self):
-        book = ConnectionBook(6)
+        book = ConnectionTracker(6)
         first, second = opened(book, 2)
         book.take(1.0)
         book.returned(second, 1.0)
-        assert book.take(2.0) == Reuse(second)
-        assert book.take(2.0) == Reuse(first)
+        assert book.take(2.0) == ReuseConnection(second)
+        assert book.take(2.0) == ReuseConnection(first)
 
     def test_idle_connection_is_closed_after_its_bound(self):
-        book = ConnectionBook(6, idle_seconds=10.0)
+        book = ConnectionTracker(6, idle_seconds=10.0)
         (number,) = opened(book, 1)
         assert book.next_expiry() == 10.0
         assert book.expired(9.9) == ()
@@ -49,21 +49,21 @@
         A search times out on the first, its retry on the second, and so on: one fault costs one
         call for each kept connection.
         """
-        book = ConnectionBook(6)
+        book = ConnectionTracker(6)
         opened(book, 3)
         silent = book.take(5.0).number
         siblings = book.condemned(silent, started=5.0, now=6.0)
         assert len(siblings) == 2
-        assert isinstance(book.take(6.0), Open)
+        assert isinstance(book.take(6.0), OpenConnection)
 
     def test_sibling_that_was_good_since_is_kept(self):
-        book = ConnectionBook(6)
+        book = ConnectionTracker(6)
         opened(book, 2)
         silent = book.take(5.0).number
         alive = book.take(5.1).number
         book.returned(alive, 5.2)
         assert book.condemned(silent, started=5.0, now=6.0) == ()
-        assert book.take(6.0) == Reuse(alive)
+        assert book.take(6.0) == ReuseConnection(alive)
 
 
 class TestBudget:
@@ -77,24 +77,24 @@
         The cancels that would end their calls wait for a connection, so nothing ends before the
         deadlines.
         """
-        book = ConnectionBook(3)
-        assert isinstance(book.take(0.0), Open)
-        assert isinstance(book.take(0.0), Open)
-        assert isinstance(book.take(0.0), Full)
-        assert isinstance(book.take(0.0, control=True), Open)
+        book = ConnectionTracker(3)
+        assert isinstance(book.take(0.0), OpenConnection)
+        assert isinstance(book.take(0.0), OpenConnection)
+        assert isinstance(book.take(0.0), WaitForConnection)
+        assert isinstance(book.take(0.0, control=True), OpenConnection)
 
     def test_closed_connection_counts_until_the_searcher_heard_of_it(self):
         """A burst of timeouts closes all connections and opens as many new ones.
 
         The searcher still counts the old ones, and refuses connections of all instances.
         """
-        book = ConnectionBook(2)
+        book = ConnectionTracker(2)
         number = book.take(0.0).number
         book.condemned(number, started=0.0, now=1.0)
         control = book.take(1.0, control=True)
-        assert isinstance(control, Open)
-        assert book.take(1.0) == Full(until=1.0 + CLOSING_SECONDS)
-        assert isinstance(book.take(1.0 + CLOSING_SECONDS), Open)
+        assert isinstance(control, OpenConnection)
+        assert book.take(1.0) == WaitForConnection(until=1.0 + CLOSING_SECONDS)
+        assert isinstance(book.take(1.0 + CLOSING_SECONDS), OpenConnection)
 
     STEPS = st.lists(
         st.tuples(
@@ -108,7 +108,7 @@
     @settings(derandomize=True, max_examples=500)
     @given(STEPS, st.integers(1, 8))
     def test_the_limit_holds_in_every_order_and_no_connection_has_two_calls(self, steps, limit):
-        book, now = ConnectionBook(limit, idle_seconds=2.0), 0.0
+        book, now = ConnectionTracker(limit, idle_seconds=2.0), 0.0
         busy: list[int] = []
         counted_until: dict[int, float] = {}
         live: set[int] = set()
@@ -117,7 +117,7 @@
             closed: tuple[int, ...] = ()
             if step in ("take", "control"):
                 choice = book.take(now, control=step == "control")
-                if not isinstance(choice, Full):
+                if not isinstance(choice, WaitForConnection):
                     assert choice.number not in busy
                     busy.append(choice.number)
                     live.add(choice.number)
@@ -128,7 +128,7 @@
                 if step == "return":
                     book.returned(number, now)
                 elif step == "refused":
-                    book.not_opened(number)
+                    book.connect_failed(number)
                     live.discard(number)
                 else:
                     closed = (number, *book.condemned(number, now, now))
--- a/tests/unit/lifecycle/test_drains.py
+++ b/tests/unit/lifecycle/test_drains.py
@@ -4,18 +4,18 @@
 
 import pytest
 
-from limpethollow_policy.connection.drains import LIST_BELIEVED_SECONDS as LONG
+from limpethollow_policy.connection.drains import LISTING_TRUSTED_SECONDS as LONG
 from limpethollow_policy.connection.drains import PROBE_SECONDS, DrainEvidence
 from limpethollow_policy.process.schedulers import GroupScheduler
 from limpethollow_policy.request.events import (
     Failure,
     GrantSlot,
+    NotifyDrain,
     Search,
     SlotRequest,
     StartCall,
-    TellDrain,
 )
-from limpethollow_policy.version.groups import cut_groups
+from limpethollow_policy.version.groups import partition_service
 from limpethollow_wire.searches import SearcherReply
 from limpethollow_wire.services import SearcherSpec, ServiceSpec
 
@@ -75,7 +75,7 @@
 def scheduler() -> GroupScheduler:
     searchers = tuple(SearcherSpec(f"s{n}", f"127.0.0.1:{n + 1}", (0,)) for n in range(2))
     spec = ServiceSpec("finder", shards=1, searchers=searchers)
-    return GroupScheduler(spec, cut_groups(spec)[0], Random(1))
+    return GroupScheduler(spec, partition_service(spec)[0], Random(1))
 
 
 def search(name: str, now: float) -> Search:
@@ -105,7 +105,7 @@
         group = scheduler()
         actions = group.search_arrived(search("a", 0.0), 0.0)
         following = answer_inventories(group, actions, 0.0, s0=True)
-        assert TellDrain("s0", True) in following
+        assert NotifyDrain("s0", True) in following
         assert called(following) == {"s1"}
 
     def test_notice_from_a_peer_stops_new_work_though_the_last_reply_said_otherwise(self):
@@ -115,8 +115,8 @@
         """
         group = scheduler()
         answer_inventories(group, group.search_arrived(search("a", 0.0), 0.0), 0.0)
-        group.drain_noted("s0", draining=True, said_at=0.5, listed=False, now=0.6)
-        group.drain_noted("s1", draining=True, said_at=-0.5, listed=False, now=0.6)
+        group.drain_reported("s0", draining=True, reported_at=0.5, listed=False, now=0.6)
+        group.drain_reported("s1", draining=True, reported_at=-0.5, listed=False, now=0.6)
         actions = group.search_arrived(search("b", 0.7), 0.7)
         assert called(actions) <= {"s1"}
 
@@ -128,7 +128,7 @@
         actions = group.search_arrived(search("b", 60.0), 60.0)
         assert "s0" in {a.searcher_id for a in actions if isinstance(a, StartCall)}
         following = answer_inventories(group, actions, 60.0)
-        assert TellDrain("s0", False) in following
+        assert NotifyDrain("s0", False) in following
         assert not group.replicas["s0"].draining
 
     def test_booking_asks_the_other_holder_where_the_fresh_one_is_busy(self):
--- a/tests/unit/lifecycle/test_links.py
+++ b/tests/unit/lifecycle/test_links.py
@@ -2,7 +2,7 @@
 
 from random import Random
 
-from limpethollow_policy.connection.links import Dialling, LinkHealth, OpenRequests
+from limpethollow_policy.connection.links import DialBackoff, LinkHealth, PeerRequestLimiter
 
 
 class TestLinkHealth:
@@ -19,13 +19,13 @@
 
 class TestDialling:
     def test_failed_peer_is_not_dialled_again_at_once(self):
-        dialling = Dialling(Random(1))
+        dialling = DialBackoff(Random(1))
         assert dialling.wait(0.0) == 0.0
         dialling.failed(0.0)
         assert dialling.wait(0.0) > 0.0
 
     def test_pauses_grow_to_a_bound_and_end_with_a_link(self):
-        dialling = Dialling(Random(1))
+        dialling = DialBackoff(Random(1))
         waits = []
         for _ in range(20):
             dialling.failed(0.0)
@@ -37,7 +37,7 @@
     def test_instances_that_lost_a_peer_together_do_not_come_back_together(self):
         waits = set()
         for seed in range(10):
-            dialling = Dialling(Random(seed))
+            dialling = DialBackoff(Random(seed))
             dialling.failed(0.0)
             waits.add(dialling.wait(0.0))
         assert len(waits) == 10
@@ -45,7 +45,7 @@
 
 class TestOpenRequests:
     def test_one_peer_is_bounded_and_the_others_are_not_touched(self):
-        requests = OpenRequests(limit=2)
+        requests = PeerRequestLimiter(limit=2)
         assert requests.begin("n1")
         assert requests.begin("n1")
         assert not requests.begin("n1")
--- a/tests/unit/platform/test_codec.py
+++ b/tests/unit/platform/test_codec.py
@@ -78,7 +78,7 @@
         route = {**ROUTE, "gather": ["x", "y"], "topK": 5, "minVersion": 0.75}
         found = self.decode(route).routes[0]
         assert found.shards == ("x", "y")
-        assert (found.top, found.floor, found.least_parts) == (5, 0.75, 2)
+        assert (found.top, found.floor, found.min_parts) == (5, 0.75, 2)
         assert (found.timeout, found.objective) == (0.8, 0.056)
         assert found.host == "pupu.example"
 
--- a/tests/unit/platform/test_quarantines.py
+++ b/tests/unit/platform/test_quarantines.py
@@ -8,7 +8,7 @@
 from limpethollow_node.platform.quarantines import QuarantineKeeper
 from limpethollow_node.process.metrics import Metrics
 from limpethollow_policy.process.crashes import CrashEvidence
-from limpethollow_policy.request.crashguards import CrashGuard
+from limpethollow_policy.request.crash_guards import CrashGuard
 
 
 class SlowStore:
--- a/tests/unit/search/drivers.py
+++ b/tests/unit/search/drivers.py
@@ -9,16 +9,16 @@
     Action,
     CancelCall,
     Complete,
+    CompleteVersions,
     Count,
     DenySlot,
+    FailSearch,
     Failure,
     GrantSlot,
-    Refuse,
+    ScheduleTick,
     Search,
-    Servable,
     SlotRequest,
     StartCall,
-    WakeAt,
 )
 from limpethollow_policy.version.groups import Group
 from limpethollow_wire.searches import CallError, CallPart, SearcherReply
@@ -56,7 +56,7 @@
         self.searches: dict[str, Search] = {}
         self.calls: dict[str, StartCall] = {}
         self.cancelled: set[str] = set()
-        self.finals: dict[str, Complete | Refuse | Servable] = {}
+        self.finals: dict[str, Complete | FailSearch | CompleteVersions] = {}
         self.slots: dict[str, GrantSlot | DenySlot] = {}
         self.counts: Counter[tuple[str, str]] = Counter()
         self.started: list[StartCall] = []
@@ -172,7 +172,7 @@
 
     def error(self, search_id: str) -> Any:
         final = self.finals[search_id]
-        assert isinstance(final, Refuse), final
+        assert isinstance(final, FailSearch), final
         return final.error
 
     def set_versions(self, versions: set[int], *searcher_ids: str) -> None:
@@ -196,7 +196,7 @@
                 assert call_id in self.calls
                 assert call_id not in self.cancelled
                 self.cancelled.add(call_id)
-            case Complete(search_id) | Refuse(search_id) | Servable(search_id):
+            case Complete(search_id) | FailSearch(search_id) | CompleteVersions(search_id):
                 assert search_id not in self.finals, "a second answer to one search"
                 self.finals[search_id] = action
                 if isinstance(action, Complete):
@@ -206,7 +206,7 @@
                 self.slots[request_id] = action
             case Count(name, reason):
                 self.counts[name, reason] += 1
-            case WakeAt(when):
+            case ScheduleTick(when):
                 assert when > self.now
                 self.wake_at = when if self.wake_at is None else min(self.wake_at, when)
 
--- a/tests/unit/search/test_coordination.py
+++ b/tests/unit/search/test_coordination.py
@@ -4,7 +4,7 @@
 
 from limpethollow_policy.process.owners import SilentOwners, spread_over_owners
 from limpethollow_policy.request.forwards import ForwardPlan
-from limpethollow_policy.request.merges import choose_across, merge_answers
+from limpethollow_policy.request.merges import choose_common_version, merge_answers
 from limpethollow_wire.exceptions import Overloaded, VersionGone
 from limpethollow_wire.searches import Coverage, GroupAnswer, MissingShard, Part, ServableVersions
 
@@ -30,13 +30,13 @@
         self, versions, chosen, groups
     ):
         known = {index: ServableVersions(1, v) for index, v in enumerate(versions)}
-        assert choose_across(WANTED, known, 1) == (chosen, groups)
+        assert choose_common_version(WANTED, known, 1) == (chosen, groups)
 
     def test_group_at_another_epoch_makes_the_search_start_over(self):
         """One group has the new partition already; its shard numbers mean other bays."""
         known = {0: ServableVersions(1, (3,)), 1: ServableVersions(2, (3,))}
         with pytest.raises(VersionGone):
-            choose_across(WANTED, known, 1)
+            choose_common_version(WANTED, known, 1)
 
 
 class TestMerge:
@@ -99,15 +99,15 @@
         plan = ForwardPlan(["a", "b", "c"], 0.0, 1.0)
         plan.begin()
         assert plan.patience(0.1, 1.0) == pytest.approx(0.3)
-        assert plan.overdue(0.39, True) is None
-        assert plan.overdue(0.4, True) == "b"
-        assert plan.overdue(0.9, True) is None
+        assert plan.next_hedge(0.39, True) is None
+        assert plan.next_hedge(0.4, True) == "b"
+        assert plan.next_hedge(0.9, True) is None
         assert plan.asked == ("a", "b")
 
     def test_without_budget_the_silent_owner_is_waited_for(self):
         plan = ForwardPlan(["a", "b"], 0.0, 1.0)
         plan.begin()
-        assert plan.overdue(0.4, False) is None
+        assert plan.next_hedge(0.4, False) is None
         assert plan.patience(0.4, 1.0) == pytest.approx(0.6)
 
     def test_nothing_is_asked_after_the_deadline(self):
--- a/tests/unit/search/test_crashes.py
+++ b/tests/unit/search/test_crashes.py
@@ -1,6 +1,6 @@
 """Queries that end each searcher that runs them, at the owner of a group."""
 
-from limpethollow_policy.request.events import Failure, Refuse
+from limpethollow_policy.request.events import FailSearch, Failure
 from limpethollow_wire.exceptions import Quarantined
 from tests.unit.search.drivers import Driver
 from tests.unit.search.test_answers import warm_driver
@@ -42,7 +42,7 @@
         ask_crashing(driver, 6)
         driver.search("again", CRASHING)
         refused = driver.finals["again"]
-        assert isinstance(refused, Refuse)
+        assert isinstance(refused, FailSearch)
         assert isinstance(refused.error, Quarantined)
         assert refused.error.retry_after > 3600
 
--- a/tests/unit/search/test_parts.py
+++ b/tests/unit/search/test_parts.py
@@ -5,7 +5,7 @@
 import pytest
 
 from limpethollow_node.request.parts import GroupParts
-from limpethollow_policy.version.groups import GroupCuts
+from limpethollow_policy.version.groups import GroupCache
 from limpethollow_wire.exceptions import Unavailable
 from limpethollow_wire.searches import GroupSearch
 from limpethollow_wire.services import ServiceRecord
@@ -56,14 +56,14 @@
         the searcher until its end.
         """
         group = FakeGroup(on_search=lambda: parts.abandon("r"))
-        parts = GroupParts(FakeConfigs(), group, GroupCuts())
+        parts = GroupParts(FakeConfigs(), group, GroupCache())
         with pytest.raises(Unavailable):
             parts.search(part())
         assert len(group.abandoned) == 1
 
     def test_word_that_overtakes_the_part_ends_it(self):
         group = FakeGroup(on_search=lambda: None)
-        parts = GroupParts(FakeConfigs(), group, GroupCuts())
+        parts = GroupParts(FakeConfigs(), group, GroupCache())
         parts.abandon("r")
         with pytest.raises(Unavailable):
             parts.search(part())
