--- a/benchmarks/ablation/mechanisms.py
+++ b/benchmarks/ablation/mechanisms.py
@@ -255,5 +255,5 @@
 _mechanism(
     "quick-answers",
     "each refusal of a searcher counts as a sign of load",
-    Edit(_POLICY + "process/singles.py", "_QUEUED_SHARE = 0.5", "_QUEUED_SHARE = 0.0"),
+    Edit(_POLICY + "process/singleshedding.py", "_QUEUED_SHARE = 0.5", "_QUEUED_SHARE = 0.0"),
 )
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/catalog.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/catalog.py
@@ -15,7 +15,7 @@
 from limpethollow_policy.process.departures import Departures
 from limpethollow_policy.process.evacuations import Evacuation
 from limpethollow_policy.process.placements import Instance
-from limpethollow_policy.process.removals import RETURN_SECONDS, LossDelay, RemovalDelay
+from limpethollow_policy.process.removals import REWRITE_GRACE_SECONDS, DelayedRemover, RemovalDelay
 from limpethollow_policy.process.revisions import Revision
 from limpethollow_policy.process.searchers import Searcher
 from limpethollow_policy.version.routes import RoutingVersion
@@ -86,9 +86,9 @@
         self._removals = RemovalDelay(removal_delay)
         self._departures = Departures()
         # Searchers that an older copy of the store lists as ready although they have left since.
-        self._held = RemovalDelay(RETURN_SECONDS)
-        self._evacuation_losses = LossDelay(self._restore)
-        self._instance_losses = LossDelay(roster.remove)
+        self._held = RemovalDelay(REWRITE_GRACE_SECONDS)
+        self._evacuation_losses = DelayedRemover(self._restore)
+        self._instance_losses = DelayedRemover(roster.remove)
         self._on_version = on_version
         self._searchers_confirmed_at = float("-inf")
         self._changes: list[_SearcherChange] = []
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/dispatch.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/dispatch.py
@@ -12,7 +12,11 @@
 from limpethollow_policy.process.isolation import Isolation
 from limpethollow_policy.process.searchers import Replica, Searcher
 from limpethollow_policy.process.sendbudgets import SendBudget
-from limpethollow_policy.process.timings import OwnDelay, OwnPace, RouteTimings
+from limpethollow_policy.process.timings import (
+    AnswerDelayEstimator,
+    CallPaceEstimator,
+    RouteTimings,
+)
 from limpethollow_policy.version.routes import Route, RoutingVersion
 
 # Fraction of a searcher's connections that all instances together use. The rest is reserved for
@@ -66,8 +70,8 @@
         self.loop = asyncio.get_running_loop()
         self.clock = time.monotonic
         self.isolation = Isolation()
-        self.own_delay = OwnDelay()
-        self.own_pace = OwnPace()
+        self.own_delay = AnswerDelayEstimator()
+        self.own_pace = CallPaceEstimator()
         self.quarantines = Quarantines(metrics, self.loop.time)
         self._pools: dict[str, Pool] = {}
         self._timings: dict[str, RouteTimings] = {}
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/intake.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/intake.py
@@ -7,7 +7,7 @@
 from limpethollow_node.engine.request.outgoing import Outgoing
 from limpethollow_node.process import events
 from limpethollow_policy.process.shedding import LoadShedder, congestion, is_congested
-from limpethollow_policy.process.singles import SingleShedder
+from limpethollow_policy.process.singleshedding import SingleShedder
 from limpethollow_policy.version.routes import RoutingVersion
 from limpethollow_wire.exceptions import Overloaded
 
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/lifecycle.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/lifecycle.py
@@ -12,7 +12,7 @@
 from limpethollow_node.engine.process.peers import Peers
 from limpethollow_node.engine.process.roster import Roster
 from limpethollow_node.process import events
-from limpethollow_policy.process.stalls import StallWatch
+from limpethollow_policy.process.stalls import StallDetector
 
 # Callers that connect to a starting process wait in the listener's backlog at most this long for
 # the first configuration, which takes 10 ms from a responsive store or peer. Without one they are
@@ -78,7 +78,7 @@
         self._peers = peers
         self._front = front
         self._shutdown_requested = asyncio.Event()
-        self._stalls = StallWatch(_uptime())
+        self._stalls = StallDetector(_uptime())
         self._shutdown_requested_at = 0.0
 
     @property
@@ -94,7 +94,7 @@
     def ask_to_leave(self) -> None:
         """Request the graceful shutdown; further calls have no effect."""
         if not self._shutdown_requested.is_set():
-            self._shutdown_requested_at = self._stalls.came_from(_uptime())
+            self._shutdown_requested_at = self._stalls.earliest_arrival(_uptime())
             self._shutdown_requested.set()
 
     async def wait_for_leave(self) -> None:
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/peers.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/peers.py
@@ -29,7 +29,7 @@
 from limpethollow_node.process import events
 from limpethollow_node.process.metrics import Metrics
 from limpethollow_policy.process.catchups import Known
-from limpethollow_policy.process.topology import HEARTBEAT_SECONDS, WatchRole, links_of
+from limpethollow_policy.process.topology import HEARTBEAT_SECONDS, WatchRole, link_targets
 from limpethollow_wire.exceptions import LimpethollowError
 
 # An isolated instance has heard no peer for this long, in seconds: two heartbeats of near peers.
@@ -114,10 +114,10 @@
         """Open missing links; also called as soon as instances are listed."""
         own = self._roster.own
         known = {instance.name: instance for instance in self._roster.known}
-        for name in links_of(own, list(known.values())) - self._links.keys():
+        for name in link_targets(own, list(known.values())) - self._links.keys():
             other = known[name]
             # If both instances want the link, only the one with the smaller name dials.
-            if own.name < name or own.name not in links_of(other, list(known.values())):
+            if own.name < name or own.name not in link_targets(other, list(known.values())):
                 self._dialler.dial(other.peer_address)
         if len(known) == 1 and not self._links:
             port = own.peer_address.rpartition(":")[2]
@@ -295,7 +295,7 @@
         if link.name is None:
             return
         if heartbeat.follows and self._supports_eras(heartbeat.known):
-            self._role.relay_heard(link.name, link.heard_at, heartbeat.interval)
+            self._role.relay_message_received(link.name, link.heard_at, heartbeat.interval)
             if heartbeat.known.version == self._catalog.version_number:
                 self._catalog.confirm_version()
             if (
--- a/packages/limpethollow-node/src/limpethollow_node/engine/request/outgoing.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/request/outgoing.py
@@ -83,7 +83,7 @@
             request.body,
             request_id,
             arrived + max(seconds - way, seconds / 2),
-            arrived + timings.patience_for(spent + way),
+            arrived + timings.answer_delay_for(spent + way),
             timings.fits(spent + way),
             route,
             timings,
--- a/packages/limpethollow-node/src/limpethollow_node/engine/request/sends.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/request/sends.py
@@ -156,7 +156,7 @@
         now, seconds = self._now(), self._age()
         replica, outgoing = self.replica, self._owner.outgoing
         replica.in_flight.pop(self._number, None)
-        replica.observe_at_least(_ABANDONED_AGE_FACTOR * seconds / outgoing.timings.usual, now)
+        replica.observe_lower_bound(_ABANDONED_AGE_FACTOR * seconds / outgoing.timings.usual, now)
         if self.has_left and 0 <= now - outgoing.deadline < _MAX_TIMER_DELAY:
             replica.window.late(seconds, len(replica.in_flight), now)
         if self.call is not None:
--- a/packages/limpethollow-node/src/limpethollow_node/platform/process.py
+++ b/packages/limpethollow-node/src/limpethollow_node/platform/process.py
@@ -185,7 +185,7 @@
         """Take over what can change while the process runs: the bounds."""
         bounds = settings.bounds
         self._settings = settings
-        self._budget.set_bounds(
+        self._budget.set_limits(
             bounds.retry_budget_ratio,
             bounds.retry_budget_slack,
             bounds.budget_window_s,
--- a/packages/limpethollow-node/src/limpethollow_node/process/actors.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/actors.py
@@ -239,7 +239,7 @@
                 return self._scheduler.search_abandoned(search_id, now)
             case SlotMessage(request, future):
                 self._slots[request.id] = future
-                return self._scheduler.slot_wanted(request, now)
+                return self._scheduler.slot_requested(request, now)
             case ReleaseMessage(request_id, failure, retry_after):
                 return self._scheduler.slot_released(request_id, failure, retry_after, now)
             case ReconfigureMessage(spec, group, clients):
--- a/packages/limpethollow-node/src/limpethollow_node/process/lifecycles.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/lifecycles.py
@@ -19,12 +19,12 @@
     Exit,
     GiveUp,
     InstanceState,
+    NotifyPeer,
     OpenWork,
     RefuseTokens,
-    RoutesGiven,
+    RouteHoldTracker,
     Shutdown,
     ShutdownAction,
-    TellPeer,
 )
 from limpethollow_wire.instances import InstanceInfo
 
@@ -167,7 +167,7 @@
             match action:
                 case RefuseTokens():
                     hooks.refuse_tokens()
-                case TellPeer(peer_id):
+                case NotifyPeer(peer_id):
                     tellers.submit(self._tell, peer_id, hooks)
                 case GiveUp(reason):
                     events.BOUND_REACHED.log(reason=reason, open=hooks.open_work().requests)
@@ -185,11 +185,11 @@
                 # Whatever it was: a teller that ends unseen would hold the exit until the bound.
                 events.PEER_NOT_TOLD.log(peer=peer_id, error=repr(error))
                 with self._lock:
-                    again = bool(self._shutdown.peer_not_told(peer_id, time.monotonic()))
+                    again = bool(self._shutdown.peer_not_notified(peer_id, time.monotonic()))
                 time.sleep(_POLL_SECONDS)
                 continue
             with self._lock:
-                self._shutdown.peer_told(peer_id, held, time.monotonic())
+                self._shutdown.peer_notified(peer_id, held, time.monotonic())
             return
 
 
@@ -206,7 +206,7 @@
 
     def __init__(self, members: MemberKeeper) -> None:
         self._members = members
-        self._given = RoutesGiven()
+        self._given = RouteHoldTracker()
         self._lock = threading.Lock()
 
     def answer(self, ttl: float) -> tuple[InstanceInfo, ...]:
--- a/packages/limpethollow-node/src/limpethollow_node/process/members.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/members.py
@@ -9,7 +9,7 @@
 from limpethollow_node.process.platforms import PlatformClient
 from limpethollow_policy.process.backoffs import Backoff
 from limpethollow_policy.process.members import WHOLE_LIST, Membership
-from limpethollow_policy.process.relays import WatchDuty, relays_of
+from limpethollow_policy.process.relays import PlatformWatchRole, relays_of
 from limpethollow_wire.exceptions import LimpethollowError
 from limpethollow_wire.instances import InstanceInfo, SearcherListing
 from limpethollow_wire.peers import Hello, ListChange
@@ -37,7 +37,7 @@
         self._platform = platform
         self._lock = threading.Lock()
         self._view = Membership(own_id)
-        self._duty = WatchDuty(own_id, failure_domain, time.monotonic(), rng)
+        self._duty = PlatformWatchRole(own_id, failure_domain, time.monotonic(), rng)
         self._began: dict[str, tuple[str, float]] = {}
         self._backoff = Backoff(_FIRST_PAUSE, _LONGEST_PAUSE, rng)
         self._listeners: list[Callable[[], None]] = []
@@ -123,7 +123,7 @@
         with self._lock:
             self._view.asked(instance_id, now)
             if relay:
-                self._duty.relay_heard(now)
+                self._duty.relay_message_received(now)
 
     def unreachable(self, instance_id: str) -> None:
         """Note that a link to an instance failed."""
--- a/packages/limpethollow-node/src/limpethollow_node/process/relays.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/relays.py
@@ -13,7 +13,7 @@
 from limpethollow_node.process.links import PeerLinks
 from limpethollow_node.process.members import MemberKeeper
 from limpethollow_node.process.metrics import Metrics
-from limpethollow_policy.process.relays import GossipChoice
+from limpethollow_policy.process.relays import GossipPartnerSelector
 from limpethollow_wire.codecs import convert
 from limpethollow_wire.exceptions import LimpethollowError
 from limpethollow_wire.peers import (
@@ -71,7 +71,7 @@
         self._seeds = seeds
         self._key = key
         self._hello = hello
-        self._gossip = GossipChoice(members.own_id, rng)
+        self._gossip = GossipPartnerSelector(members.own_id, rng)
         self._beat_at = 0.0
         self._gossip_at = 0.0
         self._has_partner = False
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/answers.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/answers.py
@@ -1,7 +1,7 @@
 """The final answer of a search: its parts with their coverage, or a typed error."""
 
 from limpethollow_policy.process.replicas import ReplicaSet
-from limpethollow_policy.process.waits import WaitEstimate
+from limpethollow_policy.process.waitestimates import WaitEstimate
 from limpethollow_policy.request.events import Complete, FailSearch
 from limpethollow_policy.request.gathers import Gather
 from limpethollow_wire.exceptions import (
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/fleets.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/fleets.py
@@ -97,7 +97,7 @@
         restored = self._set_evacuated(failure_domain, False)
         for replica in restored:
             cold = self._cold_limits(replica.searcher.service).seconds
-            replica.turned_cold(cold, self._rng.random(), now)
+            replica.mark_cold(cold, self._rng.random(), now)
         return restored
 
     def _set_evacuated(self, failure_domain: str, evacuated: bool) -> list[Replica]:
@@ -128,7 +128,7 @@
             self._update_cold_start(known, now)
             return None
         replaced = self.remove(searcher.id)
-        replica = Replica(searcher, evidence_at=now)
+        replica = Replica(searcher, observed_at=now)
         replica.listed(searcher, now)
         replica.evacuated = searcher.failure_domain in self._evacuated
         replica.cold_start = ColdStart(self._cold_limits(searcher.service))
@@ -139,7 +139,7 @@
 
     def _update_cold_start(self, replica: Replica, now: float) -> None:
         if replica.searcher.cold_left > 0:
-            replica.turned_cold(replica.searcher.cold_left, self._rng.random(), now)
+            replica.mark_cold(replica.searcher.cold_left, self._rng.random(), now)
 
     def remove(self, searcher_id: str) -> Replica | None:
         """Remove a searcher; return it if it was known."""
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/pins.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/pins.py
@@ -143,13 +143,13 @@
             return True
         snapshot = Snapshot(self._replicas.epoch, best or 0)
         return any(
-            not self._replicas.serves_somewhere(shard, snapshot, now)
+            not self._replicas.is_served(shard, snapshot, now)
             and any(holder.is_usable(now) for holder in self._replicas.holders(shard))
             for shard in gather.search.shards
         )
 
     def _returns_before(self, gather: Gather, horizon: float, now: float) -> bool:
-        times = [self._replicas.comes_back(shard, now) for shard in gather.search.shards]
+        times = [self._replicas.earliest_resume(shard, now) for shard in gather.search.shards]
         return any(when is not None and when < horizon for when in times)
 
     def _usable_holders(self, gather: Gather, now: float) -> list[SearcherState]:
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/relays.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/relays.py
@@ -8,8 +8,8 @@
 
 RELAYS_PER_DOMAIN = 2
 GOSSIP_PARTNERS = 6
-RELAY_SILENCE_SECONDS = 2.0
-LOAD_FROM_PEERS_SECONDS = 1.0
+RELAY_TIMEOUT_SECONDS = 2.0
+PEER_LOAD_TIMEOUT_SECONDS = 1.0
 
 _GOSSIP_INTERVAL_SECONDS = 2.0
 _MIN_JITTER_FACTOR, _MAX_JITTER_FACTOR = 0.5, 1.5
@@ -28,7 +28,7 @@
     return tuple(instance.id for instance in ordered[:RELAYS_PER_DOMAIN])
 
 
-class WatchDuty:
+class PlatformWatchRole:
     """Decides whether this instance watches the platform itself.
 
     Relays do. Other instances do while they receive nothing from a relay, because a relay that
@@ -52,10 +52,10 @@
         self._last_relay_message_at: float | None = None
         self._jitter = 0.0
 
-    def relay_heard(self, now: float) -> None:
+    def relay_message_received(self, now: float) -> None:
         """Record a message from a relay of the own failure domain."""
         self._last_relay_message_at = now
-        self._jitter = self._rng.random() * RELAY_SILENCE_SECONDS
+        self._jitter = self._rng.random() * RELAY_TIMEOUT_SECONDS
 
     def is_relay(self, live: Iterable[InstanceInfo]) -> bool:
         """Return whether this instance is a relay according to its own view."""
@@ -65,7 +65,7 @@
         """Return whether this instance should watch the platform itself."""
         if self._last_relay_message_at is None or self.is_relay(live):
             return True
-        return now - self._last_relay_message_at > RELAY_SILENCE_SECONDS + self._jitter
+        return now - self._last_relay_message_at > RELAY_TIMEOUT_SECONDS + self._jitter
 
     def should_load(self, has_peers: bool, now: float) -> bool:
         """Return whether a newly started instance loads everything from the platform.
@@ -73,10 +73,10 @@
         Peers are tried first: after a restart of many instances, the platform would otherwise
         send the whole configuration to each of them.
         """
-        return not has_peers or now - self._started_at > LOAD_FROM_PEERS_SECONDS
+        return not has_peers or now - self._started_at > PEER_LOAD_TIMEOUT_SECONDS
 
 
-class GossipChoice:
+class GossipPartnerSelector:
     """Chooses the peers to gossip with, and when.
 
     Partners come from a small set that changes only with the membership list, so an instance
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/removals.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/removals.py
@@ -4,7 +4,7 @@
 
 # When the store comes back from an older copy, the writers of the entries that it lost write them
 # again within two seconds.
-RETURN_SECONDS = 3.0
+REWRITE_GRACE_SECONDS = 3.0
 
 
 class RemovalDelay:
@@ -41,7 +41,7 @@
         return expired
 
 
-class LossDelay:
+class DelayedRemover:
     """Removes deleted objects at once, and objects that the store may have lost after a delay.
 
     Args:
@@ -52,7 +52,7 @@
 
     def __init__(self, remove: Callable[[str], None]) -> None:
         self._remove = remove
-        self._delay = RemovalDelay(RETURN_SECONDS)
+        self._delay = RemovalDelay(REWRITE_GRACE_SECONDS)
 
     def came(self, name: str) -> None:
         """Record that an object exists."""
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/repeats.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/repeatlimits.py
@@ -14,7 +14,7 @@
 _MEDIAN = 0.5
 
 
-class Repeats:
+class RepeatLimits:
     """Limits the hedges and retries of one group.
 
     Args:
@@ -112,7 +112,7 @@
         deadline = gather.search.deadline
         return deadline - min(usual, (deadline - gather.arrived) / 2)
 
-    def restart_takes(self) -> float:
+    def expected_restart_seconds(self) -> float:
         """Return the expected duration in seconds of a restart at another snapshot."""
         return self._latency_threshold() or 0.0
 
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/replicas.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/replicas.py
@@ -105,7 +105,7 @@
         return [searcher for searcher in self if searcher.is_usable(now)]
 
     @property
-    def most_lacking(self) -> float:
+    def max_needing_call(self) -> float:
         """The maximum number of started searches that still need a call.
 
         Started searches get slots in the order of their start, regardless of the admission policy,
@@ -253,7 +253,7 @@
         """Return whether any searcher in service is paused."""
         return any(s.down_until > now and s.is_in_service for s in self._searchers.values())
 
-    def comes_back(self, shard: int, now: float) -> float | None:
+    def earliest_resume(self, shard: int, now: float) -> float | None:
         """Return when a holder of a shard leaves its pause first, or None if none is paused."""
         paused = [
             searcher.down_until
@@ -262,7 +262,7 @@
         ]
         return min(paused, default=None)
 
-    def serves_somewhere(self, shard: int, snapshot: Snapshot, now: float) -> bool:
+    def is_served(self, shard: int, snapshot: Snapshot, now: float) -> bool:
         """Return whether any usable replica, busy or not, has this snapshot of the shard."""
         epoch, version = snapshot
         holders = self.holders(shard)
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/schedulers.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/schedulers.py
@@ -5,13 +5,13 @@
 from limpethollow_policy.process.answers import Verdicts
 from limpethollow_policy.process.calls import CallTable
 from limpethollow_policy.process.pins import Pin, Pinner
-from limpethollow_policy.process.repeats import Repeats
+from limpethollow_policy.process.repeatlimits import RepeatLimits
 from limpethollow_policy.process.replicas import ReplicaSet
 from limpethollow_policy.process.searches import ActiveSearches
 from limpethollow_policy.process.senders import CallSender
 from limpethollow_policy.process.slots import SlotGranter
 from limpethollow_policy.process.suspects import SuspectQueries
-from limpethollow_policy.process.waits import WaitEstimate, queue_for
+from limpethollow_policy.process.waitestimates import WaitEstimate, make_admission_queue
 from limpethollow_policy.request.events import (
     Action,
     CompleteVersions,
@@ -54,11 +54,11 @@
         self._spec = spec
         self._outbox = Outbox()
         self._replicas = ReplicaSet(spec, group, rng)
-        self._queue = queue_for(spec)
+        self._queue = make_admission_queue(spec)
         self._waits = WaitEstimate(self._replicas, self._queue)
         self._active = ActiveSearches()
         self._calls = CallTable()
-        self._repeats = Repeats(spec.hedge)
+        self._repeats = RepeatLimits(spec.hedge)
         self._suspects = SuspectQueries(self._calls)
         self._sender = CallSender(
             self._replicas,
@@ -147,7 +147,7 @@
             self._repeats.call_cut_short(latency)
         elif not call.is_inventory:
             self._repeats.call_answered(latency)
-        self._sender.take_reply(call, reply, now)
+        self._sender.handle_reply(call, reply, now)
         return self._run(now)
 
     def call_failed(
@@ -162,10 +162,10 @@
             call.searcher.call_cancelled(now - call.started, now)
         if failure is Failure.TIMEOUT and not call.is_inventory:
             self._repeats.call_cut_short(now - call.started)
-        self._sender.take_failure(call, failure, now)
+        self._sender.handle_failure(call, failure, now)
         return self._run(now)
 
-    def slot_wanted(self, request: SlotRequest, now: float) -> list[Action]:
+    def slot_requested(self, request: SlotRequest, now: float) -> list[Action]:
         """Process a booking's slot request; exactly one `GrantSlot` or `DenySlot` answers it."""
         self._probe_leaving_searchers(now)
         self._slots.wanted(request)
@@ -254,14 +254,14 @@
             return False
         unpinned = sum(not gather.is_pinned for gather in self._active)
         needing_call = sum(bool(gather.idle) for gather in self._active)
-        return unpinned < _MAX_UNPINNED and needing_call < self._replicas.most_lacking
+        return unpinned < _MAX_UNPINNED and needing_call < self._replicas.max_needing_call
 
     def _is_covered(self, gather: Gather, now: float) -> bool:
         """Return whether cached results and open calls will cover all shards of a search."""
         search = gather.search
         servable = self._replicas.servable(search.shards, search.min_version, now)
         version = servable[0] if search.pinned is None and servable else search.pinned
-        return version is not None and self._sender.will_bring_all(gather, version)
+        return version is not None and self._sender.is_covered_by_others(gather, version)
 
     def _enqueue(self, gather: Gather, now: float) -> None:
         displaced = self._queue.offer(gather)
@@ -276,12 +276,12 @@
     def _finish(self, search_id: str) -> None:
         gather = self._active.remove(search_id)
         if gather is not None:
-            self._sender.wants_less(gather.key)
+            self._sender.mark_changed(gather.key)
 
     def _rebuild_queue(self) -> None:
         """Rebuild the queue for a new configuration without refusing any waiting search."""
         waiting = sorted(self._queue, key=lambda gather: gather.arrived)
-        self._queue = queue_for(self._spec)
+        self._queue = make_admission_queue(self._spec)
         self._waits.queue = self._queue
         for gather in waiting:
             displaced = self._queue.offer(gather)
@@ -318,9 +318,9 @@
         """Give up shards that no replica will serve before the answer is due."""
         for shard in tuple(gather.idle):
             assert gather.snapshot is not None
-            if self._replicas.serves_somewhere(shard, gather.snapshot, now):
+            if self._replicas.is_served(shard, gather.snapshot, now):
                 continue
-            back = self._replicas.comes_back(shard, now)
+            back = self._replicas.earliest_resume(shard, now)
             if back is not None and back < gather.horizon():
                 continue
             if self._has_other_partitioning(gather.search) and gather.search.deadline > now:
@@ -361,7 +361,7 @@
         search = gather.search
         if search.pinned is not None or not gather.may_restart():
             return False
-        if now + self._repeats.restart_takes() >= gather.horizon():
+        if now + self._repeats.expected_restart_seconds() >= gather.horizon():
             return False
         assert gather.snapshot is not None
         better = self._replicas.best_version(search.shards, search.min_version, now)
@@ -369,7 +369,7 @@
         if better == gather.snapshot.version and not stale:
             return False
         gather.unpin()
-        self._sender.wants_less(gather.key)
+        self._sender.mark_changed(gather.key)
         self._outbox.count("search_restarts", "version_gone")
         if self._pin(gather, now):
             self._sender.fill(gather)
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/searchers.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/searchers.py
@@ -9,7 +9,7 @@
 # Observations of a slow or failing searcher lose half their weight in this many seconds. Typical
 # faults last 5 to 10 s; with 3 s, a searcher that has recovered is tried again 10 s after its last
 # bad call.
-EVIDENCE_HALF_LIFE = 3.0
+OBSERVATION_HALF_LIFE = 3.0
 # Smoothing factor: the newest five calls make up two thirds of the estimate.
 _SMOOTHING = 0.2
 # A searcher in another failure domain must be expected to be this much faster. Each call to another
@@ -67,7 +67,7 @@
         in_flight: Start times of its open calls by call number, oldest first.
         slowness: Smoothed ratio of its call times to the usual time; 1 is normal.
         failures: Smoothed fraction of its calls that failed.
-        evidence_at: Time of the last observation.
+        observed_at: Time of the last observation.
         blocked_until: Monotonic time in seconds before which it gets no calls.
         block: Length of the next block in seconds.
         unlisted: Whether its entry is gone; the entry may reappear shortly.
@@ -84,7 +84,7 @@
     in_flight: dict[int, float] = field(default_factory=dict)
     slowness: float = 1.0
     failures: float = 0.0
-    evidence_at: float = 0.0
+    observed_at: float = 0.0
     blocked_until: float = 0.0
     block: float = FIRST_BLOCK
     unlisted: bool = False
@@ -138,7 +138,7 @@
         self.window.sent(now)
         self.cold_start.sent(now)
 
-    def turned_cold(self, seconds: float, phase: float, now: float) -> None:
+    def mark_cold(self, seconds: float, phase: float, now: float) -> None:
         """Record that it is cold.
 
         Args:
@@ -166,7 +166,7 @@
         self.failures -= _SMOOTHING * self.failures
         self.block = FIRST_BLOCK
 
-    def observe_at_least(self, ratio: float, now: float) -> None:
+    def observe_lower_bound(self, ratio: float, now: float) -> None:
         """Record the age of a call that was given up, a lower bound of its time."""
         self._decay_observations(now)
         if ratio > self.slowness:
@@ -221,10 +221,10 @@
             self.leaving_since = now
 
     def _decay_observations(self, now: float) -> None:
-        elapsed = now - self.evidence_at
+        elapsed = now - self.observed_at
         if elapsed <= 0:
             return
-        self.evidence_at = now
-        weight = 0.5 ** (elapsed / EVIDENCE_HALF_LIFE)
+        self.observed_at = now
+        weight = 0.5 ** (elapsed / OBSERVATION_HALF_LIFE)
         self.slowness = 1.0 + (self.slowness - 1.0) * weight
         self.failures *= weight
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/sendbudgets.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/sendbudgets.py
@@ -44,12 +44,12 @@
         self._repeats[self._bucket % (BUCKETS + 1)] += 1
         self._sum_repeats += 1
 
-    def requests_until(self, now: float) -> int:
+    def requests_in_window(self, now: float) -> int:
         """Return the number of callers' requests in the window that ends now."""
         self._advance(now)
         return self._sum_requests
 
-    def repeats_until(self, now: float) -> int:
+    def repeats_in_window(self, now: float) -> int:
         """Return the number of repeated sends in the window that ends now."""
         self._advance(now)
         return self._sum_repeats
@@ -118,7 +118,7 @@
         self._windows: dict[str, SendWindow] = {}
         self._search_windows: dict[tuple[str, ...], _SearchWindow] = {}
 
-    def set_bounds(self, ratio: float, slack: float, window: float, now: float) -> None:
+    def set_limits(self, ratio: float, slack: float, window: float, now: float) -> None:
         """Apply changed limits; if the window's length changes, counting starts from zero."""
         self._ratio, self._slack = ratio, slack
         if window != self._window:
@@ -126,7 +126,7 @@
             self._windows.clear()
             self._search_windows.clear()
             if self._claim is not None:
-                self._claim.use_window(window, now)
+                self._claim.set_window(window, now)
 
     def share_among(self, sharers: float, now: float) -> None:
         """Set how many parts of this instance's size the slack is divided into from now on."""
@@ -139,12 +139,12 @@
 
     def room(self, service: str, now: float) -> float:
         """Return the number of repeats to a service that the budget allows now."""
-        requests = self._window_of(service).requests_until(now)
+        requests = self._window_of(service).requests_in_window(now)
         for searches in self._search_windows.values():
             if service in searches.shards:
-                requests += searches.requests_until(now)
+                requests += searches.requests_in_window(now)
         allowed = _USABLE_FRACTION * self._ratio * requests + self._slack_part(now)
-        return allowed - self._window_of(service).repeats_until(now)
+        return allowed - self._window_of(service).repeats_in_window(now)
 
     def _slack_part(self, now: float) -> float:
         """Return the part of the slack that this instance may use."""
@@ -176,7 +176,7 @@
         self._search_windows = {
             shards: window
             for shards, window in self._search_windows.items()
-            if window.requests_until(now) > 0
+            if window.requests_in_window(now) > 0
         }
 
     def take(self, service: str, now: float, reserve: float = 0.0) -> bool:
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/senders.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/senders.py
@@ -3,9 +3,9 @@
 from limpethollow_policy.connection.searchers import SearcherState
 from limpethollow_policy.process.calls import CallTable, OpenCall, Work
 from limpethollow_policy.process.crashes import Standing
-from limpethollow_policy.process.repeats import Repeats
+from limpethollow_policy.process.repeatlimits import RepeatLimits
 from limpethollow_policy.process.replicas import Choice, ReplicaSet
-from limpethollow_policy.process.results import ResultCache
+from limpethollow_policy.process.resultcaches import ResultCache
 from limpethollow_policy.process.searches import ActiveSearches
 from limpethollow_policy.process.suspects import SuspectQueries
 from limpethollow_policy.request.events import CancelCall, Failure, StartCall
@@ -51,7 +51,7 @@
         replicas: ReplicaSet,
         active: ActiveSearches,
         calls: CallTable,
-        repeats: Repeats,
+        repeats: RepeatLimits,
         suspects: SuspectQueries,
         outbox: Outbox,
     ) -> None:
@@ -64,7 +64,7 @@
         self._results = ResultCache()
         self._changed_keys: set[str] = set()
 
-    def will_bring_all(self, gather: Gather, version: int) -> bool:
+    def is_covered_by_others(self, gather: Gather, version: int) -> bool:
         """Return whether open calls and cached results cover a whole search at a version."""
         snapshot = Snapshot(self._replicas.epoch, version)
         busy = self._calls.busy_shards(gather.key, snapshot)
@@ -82,7 +82,7 @@
             self._outbox.count("shared_answers", "joined")
             gather.asked_shards |= joined
 
-    def wants_less(self, key: str) -> None:
+    def mark_changed(self, key: str) -> None:
         """Record that fewer searches wait for a query, so its calls may have become useless."""
         self._changed_keys.add(key)
 
@@ -131,7 +131,7 @@
                 self._outbox.add(CancelCall(call.id))
                 self._outbox.count("searcher_calls_cancelled")
 
-    def take_reply(self, call: OpenCall, reply: SearcherReply, now: float) -> None:
+    def handle_reply(self, call: OpenCall, reply: SearcherReply, now: float) -> None:
         """Distribute the parts of a reply; a requested shard without a part counts as failed.
 
         It counts as failed whether or not the reply has an error for it. Only parts for queries and
@@ -151,7 +151,7 @@
             failed = {shard: codes.get((key, shard), _NO_PART) for shard in shards}
             self._shards_failed(call, key, failed)
 
-    def take_failure(self, call: OpenCall, failure: Failure, now: float) -> None:
+    def handle_failure(self, call: OpenCall, failure: Failure, now: float) -> None:
         """Retry the work of a failed call if the budget allows it."""
         if failure is Failure.LOST:
             self._suspects.lost(call, now)
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/shedding.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/shedding.py
@@ -48,7 +48,7 @@
 _INITIAL_CREDIT = 0.5
 # Lower limit of the interval between evaluations of the rate, for routes without an objective or
 # with one that can't be met.
-SHORTEST_OBJECTIVE = 0.01
+MIN_OBJECTIVE = 0.01
 # Arrivals per second that are assumed if there were none recently.
 _MIN_ARRIVAL_RATE = 1.0
 _UNLIMITED = float("inf")
@@ -105,7 +105,7 @@
         "_credit",
         "_cut_at",
         "_ended",
-        "_look_at",
+        "_evaluate_at",
         "_last_retry_at",
         "_rate",
         "target",
@@ -117,7 +117,7 @@
         self._credit = _INITIAL_CREDIT
         self._last_retry_at = float("-inf")
         self._cut_at = float("-inf")
-        self._look_at = float("-inf")
+        self._evaluate_at = float("-inf")
         self._ended = 0
         self._congestion = 0.0
         self._clean_evaluations = 0
@@ -175,9 +175,9 @@
             return False
         self._ended += 1
         self._congestion += congestion
-        if now < self._look_at:
+        if now < self._evaluate_at:
             return False
-        objective = max(objective, SHORTEST_OBJECTIVE)
+        objective = max(objective, MIN_OBJECTIVE)
         share = self._congestion / self._ended
         self._clean_evaluations = self._clean_evaluations + 1 if share == 0.0 else 0
         if share < _RAISE_BELOW:
@@ -188,7 +188,7 @@
         if cut:
             self._cut(share, now, objective)
         self._ended, self._congestion = 0, 0.0
-        self._look_at = now + objective
+        self._evaluate_at = now + objective
         return cut
 
     def _wait_by_depth(self, queue_depth: float, in_time: bool, now: float) -> float:
@@ -244,9 +244,9 @@
     def _cut(self, share: float, now: float, objective: float) -> None:
         deep = share > _CUT_DEEP_ABOVE
         rate = min(self._rate, self._arrivals.highest_admitted(now))
-        self._lower_to(rate * (_DEEP_CUT_FACTOR if deep else _CUT_FACTOR), now, objective)
+        self._lower_rate(rate * (_DEEP_CUT_FACTOR if deep else _CUT_FACTOR), now, objective)
 
-    def _lower_to(self, rate: float, now: float, objective: float) -> None:
+    def _lower_rate(self, rate: float, now: float, objective: float) -> None:
         """Lower the rate, but not so far that the end of an overload would go undetected."""
         coming = max(self._arrivals.rate(now), self._arrivals.usual_rate(now))
         least = min(1.0 / (_MAX_ADMISSION_INTERVAL * objective), _MIN_ADMITTED_FRACTION * coming)
@@ -258,7 +258,7 @@
         return self._last_retry_at > now - 2 * objective
 
     def _raise(self, now: float, objective: float) -> None:
-        elapsed = (now - self._look_at) / objective + 1.0
+        elapsed = (now - self._evaluate_at) / objective + 1.0
         growth = _PROBING_GROWTH if self._is_probing(now, objective) else _RECOVERY_GROWTH
         doublings = min(max(0, self._clean_evaluations - _MIN_CLEAN_EVALUATIONS), _MAX_DOUBLINGS)
         growth = min(growth * 2**doublings, _MAX_GROWTH)
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/shutdowns.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/shutdowns.py
@@ -17,8 +17,8 @@
 ABORT_RESERVE_SECONDS = 1.5
 FORCED_EXIT_SECONDS = 2.0
 TRANSIT_SECONDS = 0.5
-UNTOLD_SECONDS = 2.0
-QUIET_SECONDS = 0.5
+NOTIFY_SECONDS = 2.0
+QUIET_PERIOD_SECONDS = 0.5
 
 
 class InstanceState(StrEnum):
@@ -66,7 +66,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class TellPeer:
+class NotifyPeer:
     """Tell a peer that this instance is leaving, and ask how long callers may hold its address."""
 
     peer_id: str
@@ -86,7 +86,7 @@
     reason: ExitReason
 
 
-ShutdownAction = RefuseTokens | TellPeer | GiveUp | Exit
+ShutdownAction = RefuseTokens | NotifyPeer | GiveUp | Exit
 
 
 @dataclass(slots=True, frozen=True)
@@ -104,7 +104,7 @@
     last_arrival: float
 
 
-class RoutesGiven:
+class RouteHoldTracker:
     """Tracks how long callers may hold instances' addresses from route answers given here."""
 
     __slots__ = ("_until",)
@@ -217,28 +217,28 @@
         new = [peer for peer in peers if peer not in self._seen_peers]
         self._seen_peers.update(new)
         self._untold.update(new)
-        return [TellPeer(peer) for peer in new]
+        return [NotifyPeer(peer) for peer in new]
 
-    def peer_told(self, peer_id: str, held: float, now: float) -> None:
+    def peer_notified(self, peer_id: str, held: float, now: float) -> None:
         """Record that a peer no longer names this instance, and how long its callers hold it."""
         self._untold.discard(peer_id)
         if held > 0:
             self._held_until = max(self._held_until, now + held + TRANSIT_SECONDS)
 
-    def peer_not_told(self, peer_id: str, now: float) -> list[ShutdownAction]:
+    def peer_not_notified(self, peer_id: str, now: float) -> list[ShutdownAction]:
         """Process a failed attempt to tell a peer; it is retried for a limited time.
 
         An unreachable peer may continue to name this instance until the platform's list shows the
         instance as leaving. Waiting for such a peer indefinitely would let one dead peer block
-        every shutdown, so it is assumed to have named this instance until `UNTOLD_SECONDS` after
+        every shutdown, so it is assumed to have named this instance until `NOTIFY_SECONDS` after
         the signal.
         """
         if self._state is not InstanceState.LEAVING or peer_id not in self._untold:
             return []
-        if now < self._state_since + UNTOLD_SECONDS:
-            return [TellPeer(peer_id)]
+        if now < self._state_since + NOTIFY_SECONDS:
+            return [NotifyPeer(peer_id)]
         self._untold.discard(peer_id)
-        until = self._state_since + UNTOLD_SECONDS + self._untold_ttl + TRANSIT_SECONDS
+        until = self._state_since + NOTIFY_SECONDS + self._untold_ttl + TRANSIT_SECONDS
         self._held_until = max(self._held_until, until)
         return []
 
@@ -265,7 +265,8 @@
         its route can have sent a request.
         """
         return (
-            not work.requests and now >= max(self._state_since, work.last_arrival) + QUIET_SECONDS
+            not work.requests
+            and now >= max(self._state_since, work.last_arrival) + QUIET_PERIOD_SECONDS
         )
 
     def _is_given_up_over(self, work: OpenWork, now: float) -> bool:
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/singles.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/singleshedding.py
@@ -8,7 +8,7 @@
 from collections import deque
 
 from limpethollow_policy.process.arrivals import Arrivals
-from limpethollow_policy.process.shedding import SHORTEST_OBJECTIVE, LoadShedder
+from limpethollow_policy.process.shedding import MIN_OBJECTIVE, LoadShedder
 
 # Late requests of a service count as a sign of load for this long after its searchers reported that
 # they were full: a full queue takes about as long to empty.
@@ -58,7 +58,7 @@
             objective: As for `ended`.
         """
         self._answers.add(now, admitted=True)
-        self._objective_shares.append((now, seconds / max(objective, SHORTEST_OBJECTIVE)))
+        self._objective_shares.append((now, seconds / max(objective, MIN_OBJECTIVE)))
 
     def full(self, now: float, objective: float) -> bool:
         """Record that all searchers that were tried refused as full; return as `ended` does.
@@ -73,8 +73,8 @@
         if now < self._cut_at + objective or not self._answers.tells_rate(now):
             return False
         rate = min(self._rate, _FULL_CUT_FACTOR * self._answers.highest_admitted(now))
-        self._lower_to(rate, now, _EFFECT_DELAY_FRACTION * objective)
-        self._look_at = now
+        self._lower_rate(rate, now, _EFFECT_DELAY_FRACTION * objective)
+        self._evaluate_at = now
         return True
 
     def ended(self, congestion: float, started: float, now: float, objective: float) -> bool:
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/slackclaims.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/slackclaims.py
@@ -2,7 +2,7 @@
 
 # Other instances remove an instance from the list after 30 s of silence, and use its part one
 # window later. An instance that receives nothing from any other gives up its part before that.
-UNHEARD_SECONDS = 20.0
+SLACK_RELEASE_SECONDS = 20.0
 
 
 class SlackClaim:
@@ -43,14 +43,16 @@
             self._isolated_since = now
         self._update(now)
 
-    def use_window(self, window: float, now: float) -> None:
+    def set_window(self, window: float, now: float) -> None:
         """Change the length of the window, and wait for one, since earlier spending is unknown."""
         self._window = window
         self._lose()
         self._update(now)
 
     def _update(self, now: float) -> None:
-        alone = self._isolated_since is not None and now - self._isolated_since >= UNHEARD_SECONDS
+        alone = (
+            self._isolated_since is not None and now - self._isolated_since >= SLACK_RELEASE_SECONDS
+        )
         if alone or not self._is_listed:
             self._lose()
         elif self._holds_from is None:
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/slots.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/slots.py
@@ -5,7 +5,7 @@
 from limpethollow_policy.connection.searchers import SearcherState
 from limpethollow_policy.process.calls import CallTable
 from limpethollow_policy.process.replicas import ReplicaSet
-from limpethollow_policy.process.waits import WaitEstimate
+from limpethollow_policy.process.waitestimates import WaitEstimate
 from limpethollow_policy.request.events import DenySlot, Failure, GrantSlot, SlotRequest
 from limpethollow_policy.request.outboxes import Outbox
 from limpethollow_wire.exceptions import LimpethollowError, Overloaded, Unavailable
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/stalls.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/stalls.py
@@ -6,7 +6,7 @@
 _CATCH_UP_SECONDS = 0.25
 
 
-class StallWatch:
+class StallDetector:
     """Estimates how long a signal may have waited for a frozen or CPU-starved process.
 
     Args:
@@ -27,7 +27,7 @@
             self._resumed_at = now
         self._ran_at = now
 
-    def came_from(self, now: float) -> float:
+    def earliest_arrival(self, now: float) -> float:
         """Return the earliest time at which a signal that is processed now may have arrived."""
         self.ran(now)
         return self._stalled_from if now - self._resumed_at <= _CATCH_UP_SECONDS else now
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/timings.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/timings.py
@@ -50,7 +50,7 @@
         self.value += (value - self.value) / self._values
 
 
-class CallerPatience:
+class CallerTimeoutEstimator:
     """Learns the total timeout of a route's callers, and so how long a caller has already waited.
 
     A caller states its remaining time, not its initial timeout. Most requests arrive on open
@@ -117,7 +117,7 @@
         return self._maximum - left
 
 
-class OwnDelay:
+class AnswerDelayEstimator:
     """Learns this instance's timer delay and the time that it needs to prepare an answer.
 
     An answer is sent that much after it is due, so its preparation must start that much earlier. On
@@ -161,7 +161,7 @@
         self._work.add(min(seconds, 4 * self._work_seconds))
 
 
-class OwnPace:
+class CallPaceEstimator:
     """Learns how many calls to searchers this instance can make in a given time.
 
     The work per call is the same on every instance, but its duration is not: 0.02 ms on two cores,
@@ -215,7 +215,7 @@
 
     def __init__(self, objective: float) -> None:
         self._objective = objective
-        self.patience = CallerPatience()
+        self.patience = CallerTimeoutEstimator()
         self._usual = RunningQuantile(0.5, objective * self._INITIAL_MEDIAN)
         self._late = RunningQuantile(self._LATE_QUANTILE, objective * self._INITIAL_LATE)
 
@@ -231,7 +231,7 @@
         latest = self._LATEST_HEDGE * self._objective
         return min(max(self._late.value, earliest), latest)
 
-    def patience_for(self, elsewhere: float) -> float:
+    def answer_delay_for(self, elsewhere: float) -> float:
         """Return the seconds after its arrival at which a request's answer should be sent.
 
         Args:
@@ -247,7 +247,7 @@
         """Return whether a usual call fits into the rest of the objective.
 
         Args:
-            elsewhere: As for `patience_for`.
+            elsewhere: As for `answer_delay_for`.
         """
         return self._objective - elsewhere > self.usual
 
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/topology.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/topology.py
@@ -8,11 +8,11 @@
 
 # Up to this many instances form a full mesh: 16 links with two heartbeats per second each cost an
 # instance less than half a percent of a core.
-FULL_MESH = 16
+FULL_MESH_SIZE = 16
 # In a larger fleet, each instance links to the relays and to this many others in its own failure
 # domain. The leading instances, which make calls for each other, also link to this many in every
 # other failure domain: with the relay there, that gives calls a second path.
-LINKS_NEAR, LINKS_FAR = 2, 1
+LINKS_IN_DOMAIN, LINKS_PER_OTHER_DOMAIN = 2, 1
 # Seconds between two heartbeats on a link.
 HEARTBEAT_SECONDS = 0.5
 # The interval on links between failure domains that carry no calls. With 195 instances, heartbeats
@@ -22,12 +22,12 @@
 SLOW_HEARTBEAT_SECONDS = 2.0
 # A relay counts as lost after this many seconds without a heartbeat: two heartbeats are missing.
 # With a longer heartbeat interval, the time is proportionally longer.
-RELAY_SILENCE = 1.2
+RELAY_HEARTBEAT_TIMEOUT = 1.2
 # A starting instance has read all kinds of objects once, and waits this long for a relay to report
 # that it follows the store. A relay that starts at the same moment reports it 1.6 s later: its
 # first watch counts after 0.3 s, and the next check of it, the link and the next heartbeat take
 # 0.25, 0.5 and 0.5 s.
-START_PATIENCE = 2.0
+START_RELAY_WAIT_SECONDS = 2.0
 # Maximum random delay in seconds, so that the instances that lost a relay don't call the store all
 # at once.
 _MAX_JITTER_SECONDS = 0.3
@@ -48,17 +48,17 @@
     return frozenset(relays)
 
 
-def links_of(own: Instance, known: Collection[Instance]) -> frozenset[str]:
+def link_targets(own: Instance, known: Collection[Instance]) -> frozenset[str]:
     """Return the names of the instances that this instance keeps a link to."""
     others = [instance for instance in known if instance.name != own.name]
-    if len(others) < FULL_MESH:
+    if len(others) < FULL_MESH_SIZE:
         return frozenset(instance.name for instance in others)
     wanted = set(relays_among(known))
     leading = leading_among(known)
-    far = LINKS_FAR if own in leading else 0
+    far = LINKS_PER_OTHER_DOMAIN if own in leading else 0
     others = [i for i in leading if i.name not in wanted and i.name != own.name]
     for domain, members in by_domain(others).items():
-        count = LINKS_NEAR if domain == own.failure_domain else far
+        count = LINKS_IN_DOMAIN if domain == own.failure_domain else far
         if count == 0:
             continue
         members.sort(key=lambda instance: _rendezvous_hash(own.name, instance.name))
@@ -94,7 +94,9 @@
         self._lost_at: float | None = None
         self._patience = 0.0
 
-    def relay_heard(self, name: str, now: float, interval: float = HEARTBEAT_SECONDS) -> None:
+    def relay_message_received(
+        self, name: str, now: float, interval: float = HEARTBEAT_SECONDS
+    ) -> None:
         """Record that an instance reported that it follows the store.
 
         Args:
@@ -102,7 +104,7 @@
             now: Current monotonic time in seconds.
             interval: Seconds until its next report.
         """
-        self._following[name] = now + RELAY_SILENCE * interval / HEARTBEAT_SECONDS
+        self._following[name] = now + RELAY_HEARTBEAT_TIMEOUT * interval / HEARTBEAT_SECONDS
 
     def relay_stopped(self, name: str, now: float) -> None:
         """Record that an instance no longer follows the store, or that the link to it was lost."""
@@ -121,7 +123,7 @@
             del self._following[name]
             self._begin_relay_wait(now, 0.0)
         if self._lost_at is None:
-            self._begin_relay_wait(now, START_PATIENCE)
+            self._begin_relay_wait(now, START_RELAY_WAIT_SECONDS)
         return not self._following and now >= self._lost_at + self._patience
 
     def _begin_relay_wait(self, now: float, patience: float) -> None:
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/waits.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/waitestimates.py
@@ -32,7 +32,7 @@
         return max(self.estimate(firm, now), back, _MIN_RETRY_AFTER)
 
 
-def queue_for(spec: ServiceSpec) -> AdmissionQueue:
+def make_admission_queue(spec: ServiceSpec) -> AdmissionQueue:
     """Return an empty queue for a service."""
     shares = {caller.firm: caller.share for caller in spec.callers}
     limits = AdmissionLimits(spec.admission.max_queue, shares)
--- a/tests/support/virtual.py
+++ b/tests/support/virtual.py
@@ -15,7 +15,11 @@
 from limpethollow_policy.process.isolation import Isolation
 from limpethollow_policy.process.searchers import Replica, Searcher
 from limpethollow_policy.process.sendbudgets import SendBudget
-from limpethollow_policy.process.timings import OwnDelay, OwnPace, RouteTimings
+from limpethollow_policy.process.timings import (
+    AnswerDelayEstimator,
+    CallPaceEstimator,
+    RouteTimings,
+)
 from limpethollow_policy.version.routes import Route, RoutingVersion
 
 
@@ -66,8 +70,8 @@
         self.loop = loop or VirtualLoop()
         self.clock = self.loop.time
         self.isolation = Isolation()
-        self.own_delay = OwnDelay()
-        self.own_pace = OwnPace()
+        self.own_delay = AnswerDelayEstimator()
+        self.own_pace = CallPaceEstimator()
         self.fleet = Fleet("a", Random(1))
         self.budget = SendBudget(0.2, slack, 10.0)
         self.names = HEADERS
--- a/tests/unit/configuration/test_members.py
+++ b/tests/unit/configuration/test_members.py
@@ -6,9 +6,9 @@
 
 from limpethollow_policy.process.members import WHOLE_LIST, Membership
 from limpethollow_policy.process.relays import (
-    RELAY_SILENCE_SECONDS,
-    GossipChoice,
-    WatchDuty,
+    RELAY_TIMEOUT_SECONDS,
+    GossipPartnerSelector,
+    PlatformWatchRole,
     relays_of,
 )
 from limpethollow_wire.instances import InstanceInfo
@@ -145,27 +145,27 @@
         instances = [info(f"n{n}") for n in range(9)]
         relays = relays_of("lton-a", instances)
         name = next(i.id for i in instances if i.id not in relays)
-        duty = WatchDuty(name, "lton-a", 0.0, Random(1))
+        duty = PlatformWatchRole(name, "lton-a", 0.0, Random(1))
         assert duty.should_watch(instances, 0.0)
-        duty.relay_heard(1.0)
-        assert not duty.should_watch(instances, 1.0 + RELAY_SILENCE_SECONDS)
-        assert duty.should_watch(instances, 1.1 + 2 * RELAY_SILENCE_SECONDS)
-        assert WatchDuty(relays[0], "lton-a", 0.0, Random(1)).should_watch(instances, 0.0)
+        duty.relay_message_received(1.0)
+        assert not duty.should_watch(instances, 1.0 + RELAY_TIMEOUT_SECONDS)
+        assert duty.should_watch(instances, 1.1 + 2 * RELAY_TIMEOUT_SECONDS)
+        assert PlatformWatchRole(relays[0], "lton-a", 0.0, Random(1)).should_watch(instances, 0.0)
 
     def test_members_that_lose_their_relays_do_not_call_at_once(self):
         instances = [info(f"n{n}") for n in range(90)]
         relays = relays_of("lton-a", instances)
         starts = set()
         for number, instance in enumerate(i for i in instances if i.id not in relays):
-            duty = WatchDuty(instance.id, "lton-a", 0.0, Random(number))
-            duty.relay_heard(0.0)
+            duty = PlatformWatchRole(instance.id, "lton-a", 0.0, Random(number))
+            duty.relay_message_received(0.0)
             ticks = (t / 10 for t in range(1, 100))
             starts.add(next(t for t in ticks if duty.should_watch(instances, t)))
         assert len(starts) >= 15
 
     def test_gossip_keeps_to_few_partners_in_many_domains(self):
         instances = tuple(info(f"n{n}", f"d{n % 4}") for n in range(100))
-        choice = GossipChoice("n0", Random(1))
+        choice = GossipPartnerSelector("n0", Random(1))
         partners = {choice.partner(instances) for _ in range(200)}
         assert len(partners) == 6
         assert "n0" not in partners
--- a/tests/unit/engine/test_budget_restarts.py
+++ b/tests/unit/engine/test_budget_restarts.py
@@ -207,7 +207,7 @@
 
     def test_one_that_keeps_its_part_while_it_is_cut_off_is_found(self, monkeypatch):
         assert not breaks(self._cut)
-        monkeypatch.setattr(slackclaims, "UNHEARD_SECONDS", float("inf"))
+        monkeypatch.setattr(slackclaims, "SLACK_RELEASE_SECONDS", float("inf"))
         assert breaks(self._cut)
 
     def _restarts(self) -> None:
--- a/tests/unit/engine/test_budgets.py
+++ b/tests/unit/engine/test_budgets.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from limpethollow_policy.process.sendbudgets import SendBudget
-from limpethollow_policy.process.slackclaims import UNHEARD_SECONDS, SlackClaim
+from limpethollow_policy.process.slackclaims import SLACK_RELEASE_SECONDS, SlackClaim
 
 WINDOW, RATIO, SLACK = 10.0, 0.2, 56.0
 
@@ -135,10 +135,10 @@
     def test_one_that_hears_nobody_gives_it_up_before_others_may_use_it(self):
         held = claim(first_start=True)
         held.heard(7, 0, 110.0)
-        held.heard(7, 0, 110.0 + UNHEARD_SECONDS - 1)
-        assert held.holds(110.0 + UNHEARD_SECONDS - 1)
-        held.heard(7, 0, 110.0 + UNHEARD_SECONDS)
-        assert not held.holds(110.0 + UNHEARD_SECONDS)
+        held.heard(7, 0, 110.0 + SLACK_RELEASE_SECONDS - 1)
+        assert held.holds(110.0 + SLACK_RELEASE_SECONDS - 1)
+        held.heard(7, 0, 110.0 + SLACK_RELEASE_SECONDS)
+        assert not held.holds(110.0 + SLACK_RELEASE_SECONDS)
         held.heard(7, 1, 140.0)
         assert not held.holds(140.0 + WINDOW - 0.1)
         assert held.holds(140.0 + WINDOW)
@@ -146,13 +146,13 @@
     def test_an_instance_without_others_keeps_it(self):
         held = claim(first_start=True)
         held.heard(0, 0, 110.0)
-        held.heard(0, 0, 110.0 + 2 * UNHEARD_SECONDS)
+        held.heard(0, 0, 110.0 + 2 * SLACK_RELEASE_SECONDS)
         assert held.holds(200.0)
 
     def test_another_window_begins_without_it(self):
         budget_claim = claim(first_start=True)
         budget = SendBudget(0.2, 56.0, WINDOW, budget_claim)
         budget.share_among(1, 100.0)
-        budget.set_bounds(0.2, 56.0, 2 * WINDOW, 101.0)
+        budget.set_limits(0.2, 56.0, 2 * WINDOW, 101.0)
         assert not budget.take("s", 101.0 + WINDOW)
         assert budget.take("s", 101.0 + 2 * WINDOW)
--- a/tests/unit/engine/test_carriers.py
+++ b/tests/unit/engine/test_carriers.py
@@ -5,7 +5,7 @@
 from limpethollow_node.engine.request.carriers import ShardCarrier
 from limpethollow_node.engine.request.outgoing import Outgoing
 from limpethollow_node.engine.request.sends import Send
-from limpethollow_policy.process.timings import OwnPace
+from limpethollow_policy.process.timings import CallPaceEstimator
 from tests.support.searches import VirtualExchange
 from tests.support.virtual import VirtualDispatch, request, route
 
@@ -101,7 +101,7 @@
 
 class TestOwnPace:
     def test_the_first_search_counts_at_once_and_later_ones_are_averaged(self):
-        pace = OwnPace()
+        pace = CallPaceEstimator()
         assert pace.calls_within(0.01) == float("inf")
         pace.started(100, 0.01)
         assert round(pace.calls_within(0.0035)) == 10
--- a/tests/unit/engine/test_catalog.py
+++ b/tests/unit/engine/test_catalog.py
@@ -6,7 +6,7 @@
 from limpethollow_node.engine.process import catalog
 from limpethollow_node.engine.process.catalog import Catalog
 from limpethollow_policy.process.placements import Instance
-from limpethollow_policy.process.removals import RETURN_SECONDS
+from limpethollow_policy.process.removals import REWRITE_GRACE_SECONDS
 from limpethollow_policy.process.searchers import Searcher
 from tests.support.virtual import VirtualDispatch
 
@@ -108,7 +108,7 @@
         assert not self.takes_calls(dispatch, "i-0")
         assert self.takes_calls(dispatch, "i-1")
         made.take_searchers(SearcherNews(20, 21, [drained], [], 2))
-        made.tick(dispatch.loop.time() + RETURN_SECONDS)
+        made.tick(dispatch.loop.time() + REWRITE_GRACE_SECONDS)
         assert not self.takes_calls(dispatch, "i-0")
 
     def test_one_that_does_not_say_so_again_is_used_after_a_while(self):
@@ -116,7 +116,7 @@
         (ready,) = searchers(1)
         made.take_searchers(listed(1, 20, replace(ready, draining=True)))
         made.take_searchers(listed(2, 18, ready))
-        made.tick(dispatch.loop.time() + RETURN_SECONDS)
+        made.tick(dispatch.loop.time() + REWRITE_GRACE_SECONDS)
         assert self.takes_calls(dispatch, "i-0")
 
     def test_one_that_started_anew_is_used_at_once(self):
@@ -136,7 +136,7 @@
         made.take_searchers(listed(2, 20, *found))
         assert dispatch.fleet.get("i-0").unlisted
         assert not dispatch.fleet.get("i-1").unlisted
-        made.tick(dispatch.loop.time() + RETURN_SECONDS)
+        made.tick(dispatch.loop.time() + REWRITE_GRACE_SECONDS)
         assert not dispatch.fleet.get("i-0").unlisted
 
     def test_one_that_the_copy_lacks_stays_a_last_choice(self):
@@ -145,7 +145,7 @@
         made.take_searchers(listed(1, 20, *searchers(1)))
         made.take_searchers(listed(2, 18))
         assert self.takes_calls(dispatch, "i-0")
-        made.tick(dispatch.loop.time() + RETURN_SECONDS)
+        made.tick(dispatch.loop.time() + REWRITE_GRACE_SECONDS)
         assert dispatch.fleet.get("i-0") is None
 
 
@@ -160,7 +160,7 @@
         made.take_instances(InstanceNews(None, 18, [], [], 2))
         assert roster.names == {"one", "two"}
         made.take_instances(InstanceNews(18, 19, [one], [], 2))
-        made.tick(dispatch.loop.time() + RETURN_SECONDS)
+        made.tick(dispatch.loop.time() + REWRITE_GRACE_SECONDS)
         assert roster.names == {"one"}
 
 
--- a/tests/unit/engine/test_evacuations.py
+++ b/tests/unit/engine/test_evacuations.py
@@ -22,7 +22,7 @@
 from limpethollow_node.process.metrics import Metrics
 from limpethollow_policy.process.evacuations import Evacuation
 from limpethollow_policy.process.fleets import Fleet
-from limpethollow_policy.process.removals import RETURN_SECONDS
+from limpethollow_policy.process.removals import REWRITE_GRACE_SECONDS
 from limpethollow_policy.process.revisions import NOTHING_KNOWN
 from limpethollow_policy.process.searchers import Searcher
 from limpethollow_policy.process.sendbudgets import SendBudget
@@ -208,7 +208,7 @@
         catalog.take_evacuations(EvacuationNews(None, 5, [], [], 2))
         assert dispatch.fleet.evacuated == {"a", "b"}
         catalog.take_evacuations(EvacuationNews(5, 6, [Evacuation("a")], [], 2))
-        catalog.tick(dispatch.loop.time() + RETURN_SECONDS)
+        catalog.tick(dispatch.loop.time() + REWRITE_GRACE_SECONDS)
         assert dispatch.fleet.evacuated == {"a"}
 
     def test_that_there_are_none_is_news_too(self, catalog):
--- a/tests/unit/engine/test_followers.py
+++ b/tests/unit/engine/test_followers.py
@@ -76,7 +76,7 @@
 def follower(name: str, roster=FakeRoster) -> tuple[StoreFollower, FakeFeed, FakeHealth]:
     feed, health = FakeFeed(), FakeHealth()
     role = WatchRole(name, Random(1))
-    role.relay_heard(RELAY, 99.5)
+    role.relay_message_received(RELAY, 99.5)
     made = StoreFollower(feed, [], health, role, roster(), FakeCatalog(), FakePeers(), FakeEntry())
     return made, feed, health
 
--- a/tests/unit/engine/test_shedding.py
+++ b/tests/unit/engine/test_shedding.py
@@ -4,7 +4,7 @@
 
 from limpethollow_policy.process.arrivals import Arrivals
 from limpethollow_policy.process.shedding import LoadShedder, congestion, is_congested
-from limpethollow_policy.process.singles import SingleShedder
+from limpethollow_policy.process.singleshedding import SingleShedder
 
 OBJECTIVE = 0.1
 
--- a/tests/unit/engine/test_topology.py
+++ b/tests/unit/engine/test_topology.py
@@ -5,11 +5,11 @@
 
 from limpethollow_policy.process.placements import Instance
 from limpethollow_policy.process.topology import (
-    FULL_MESH,
-    RELAY_SILENCE,
-    START_PATIENCE,
+    FULL_MESH_SIZE,
+    RELAY_HEARTBEAT_TIMEOUT,
+    START_RELAY_WAIT_SECONDS,
     WatchRole,
-    links_of,
+    link_targets,
     relays_among,
 )
 from limpethollow_policy.request.parts import PartSet
@@ -49,19 +49,19 @@
         weak = {instance.name for instance in everyone if instance.strength < 0.5}
         domains = {i.failure_domain for i in everyone if i.name not in weak}
         for own in everyone:
-            far = links_of(own, everyone) & weak
+            far = link_targets(own, everyone) & weak
             assert all(i.failure_domain not in domains for i in everyone if i.name in far)
 
 
 class TestLinks:
     def test_few_instances_link_to_all(self):
-        everyone = instances(FULL_MESH)
-        assert len(links_of(everyone[0], everyone)) == FULL_MESH - 1
+        everyone = instances(FULL_MESH_SIZE)
+        assert len(link_targets(everyone[0], everyone)) == FULL_MESH_SIZE - 1
 
     def test_many_link_to_relays_and_a_few_in_each_failure_domain(self):
         everyone = instances(400)
         for own in everyone[:20]:
-            links = links_of(own, everyone)
+            links = link_targets(own, everyone)
             assert relays_among(everyone) - {own.name} <= links
             domains = {i.failure_domain for i in everyone if i.name in links}
             assert len(domains) == 4
@@ -76,11 +76,11 @@
         assert WatchRole(relay, Random(1)).should_watch(everyone, 0.0)
         role = WatchRole(other, Random(1))
         assert not role.should_watch(everyone, 0.0)
-        assert role.should_watch(everyone, 0.31 + START_PATIENCE)
-        role.relay_heard(relay, 10.0)
-        assert not role.should_watch(everyone, 10.0 + RELAY_SILENCE)
-        role.should_watch(everyone, 10.01 + RELAY_SILENCE)
-        assert role.should_watch(everyone, 10.5 + RELAY_SILENCE)
+        assert role.should_watch(everyone, 0.31 + START_RELAY_WAIT_SECONDS)
+        role.relay_message_received(relay, 10.0)
+        assert not role.should_watch(everyone, 10.0 + RELAY_HEARTBEAT_TIMEOUT)
+        role.should_watch(everyone, 10.01 + RELAY_HEARTBEAT_TIMEOUT)
+        assert role.should_watch(everyone, 10.5 + RELAY_HEARTBEAT_TIMEOUT)
 
     def test_a_start_of_all_is_followed_by_the_relays_alone(self):
         """195 instances started, and the store got 14 calls from each within a second.
@@ -97,7 +97,7 @@
             watching = sum(role.should_watch(everyone, now) for role in roles)
             assert watching == len(relays)
         for role in roles:
-            role.relay_heard(next(iter(relays)), 1.5)
+            role.relay_message_received(next(iter(relays)), 1.5)
         assert sum(role.should_watch(everyone, 2.5) for role in roles) == len(relays)
 
     def test_a_start_with_all_relays_gone_is_followed_by_others_within_the_bound(self):
@@ -122,7 +122,7 @@
         other = next(i.name for i in everyone if i.name not in relays)
         role = WatchRole(other, Random(1))
         for relay in relays:
-            role.relay_heard(relay, 10.0)
+            role.relay_message_received(relay, 10.0)
         first, second = sorted(relays)
         role.relay_stopped(first, 10.1)
         assert not role.should_watch(everyone, 10.6)
--- a/tests/unit/lifecycle/test_drains.py
+++ b/tests/unit/lifecycle/test_drains.py
@@ -138,12 +138,12 @@
         a searcher stands idle.
         """
         group = scheduler()
-        actions = group.slot_wanted(SlotRequest("a", 0, deadline=5.0), 0.0)
+        actions = group.slot_requested(SlotRequest("a", 0, deadline=5.0), 0.0)
         calls = {a.searcher_id: a.call_id for a in actions if isinstance(a, StartCall)}
         group.call_answered(calls["s0"], reply(), 0.1)
-        group.slot_wanted(SlotRequest("b", 0, deadline=5.0), 0.1)
+        group.slot_requested(SlotRequest("b", 0, deadline=5.0), 0.1)
         group.call_failed(calls["s1"], Failure.TIMEOUT, None, 0.25)
-        actions = group.slot_wanted(SlotRequest("c", 0, deadline=5.0), 0.3)
+        actions = group.slot_requested(SlotRequest("c", 0, deadline=5.0), 0.3)
         (call,) = [a for a in actions if isinstance(a, StartCall)]
         following = group.call_answered(call.call_id, reply(), 0.4)
         assert [a.searcher_id for a in following if isinstance(a, GrantSlot)] == ["s1"]
@@ -155,7 +155,7 @@
         """
         group = scheduler()
         answer_inventories(group, group.search_arrived(search("a", 0.0), 0.0), 0.0)
-        actions = group.slot_wanted(SlotRequest("b", 0, deadline=3605.0), 3600.0)
+        actions = group.slot_requested(SlotRequest("b", 0, deadline=3605.0), 3600.0)
         assert not [a for a in actions if isinstance(a, GrantSlot)]
         following = answer_inventories(group, actions, 3600.0, s0=True)
         grants = [a for a in following if isinstance(a, GrantSlot)]
--- a/tests/unit/lifecycle/test_shutdowns.py
+++ b/tests/unit/lifecycle/test_shutdowns.py
@@ -6,18 +6,18 @@
 
 from limpethollow_policy.process.shutdowns import (
     ABORT_RESERVE_SECONDS,
-    QUIET_SECONDS,
+    NOTIFY_SECONDS,
+    QUIET_PERIOD_SECONDS,
     TRANSIT_SECONDS,
-    UNTOLD_SECONDS,
     Exit,
     ExitReason,
     GiveUp,
     InstanceState,
+    NotifyPeer,
     OpenWork,
     RefuseTokens,
-    RoutesGiven,
+    RouteHoldTracker,
     Shutdown,
-    TellPeer,
 )
 
 BOUND = 30.0
@@ -45,7 +45,7 @@
         shutdown = Shutdown(linger=0.0, bound=BOUND)
         shutdown.started(0.0)
         actions = shutdown.asked(1.0, held=0.0, peers=("n1", "n2"), longest_ttl=5.0)
-        assert actions == [RefuseTokens(), TellPeer("n1"), TellPeer("n2")]
+        assert actions == [RefuseTokens(), NotifyPeer("n1"), NotifyPeer("n2")]
         assert shutdown.state is InstanceState.LEAVING
         assert not shutdown.asks_to_close
 
@@ -66,7 +66,7 @@
         own answers only.
         """
         shutdown = leaving(held=own, peers=("n1",))
-        shutdown.peer_told("n1", peer, 0.0)
+        shutdown.peer_notified("n1", peer, 0.0)
         assert shutdown.held_until == until
         if until:
             shutdown.tick(IDLE, until - 0.01)
@@ -78,19 +78,19 @@
     def test_it_does_not_close_before_every_peer_was_told(self):
         """A caller gets the address from a peer that was never told, and finds it gone."""
         shutdown = leaving(peers=("n1",))
-        shutdown.tick(IDLE, UNTOLD_SECONDS)
+        shutdown.tick(IDLE, NOTIFY_SECONDS)
         assert shutdown.state is InstanceState.LEAVING
-        assert shutdown.peer_not_told("n1", 0.5) == [TellPeer("n1")]
+        assert shutdown.peer_not_notified("n1", 0.5) == [NotifyPeer("n1")]
 
     def test_peer_that_cannot_be_told_counts_as_naming_it_for_a_while_only(self):
         """A dead peer is still listed; a shutdown that waits for its word would never end."""
         shutdown = leaving(peers=("n1",), ttl=3.0)
-        assert shutdown.peer_not_told("n1", UNTOLD_SECONDS) == []
-        assert shutdown.held_until == UNTOLD_SECONDS + 3.0 + TRANSIT_SECONDS
+        assert shutdown.peer_not_notified("n1", NOTIFY_SECONDS) == []
+        assert shutdown.held_until == NOTIFY_SECONDS + 3.0 + TRANSIT_SECONDS
 
     def test_peer_that_the_lagging_list_shows_later_is_told_too(self):
         shutdown = leaving(peers=("n1",))
-        assert shutdown.peers_listed(("n1", "n2")) == [TellPeer("n2")]
+        assert shutdown.peers_listed(("n1", "n2")) == [NotifyPeer("n2")]
         assert shutdown.peers_listed(("n1", "n2")) == []
 
     def test_signal_during_the_start_is_kept(self):
@@ -102,7 +102,7 @@
         shutdown.asked(0.0, held=0.0, peers=(), longest_ttl=0.0)
         shutdown.started(0.1)
         assert shutdown.state is InstanceState.LEAVING
-        assert exit_time(shutdown) <= QUIET_SECONDS + 0.2
+        assert exit_time(shutdown) <= QUIET_PERIOD_SECONDS + 0.2
 
 
 class TestClosing:
@@ -119,8 +119,8 @@
         shutdown = leaving()
         shutdown.tick(IDLE, 1.0)
         arrived = OpenWork(requests=0, last_arrival=1.4)
-        assert shutdown.tick(arrived, 1.4 + QUIET_SECONDS - 0.01) == []
-        assert shutdown.tick(arrived, 1.4 + QUIET_SECONDS) == [Exit(ExitReason.DRAINED)]
+        assert shutdown.tick(arrived, 1.4 + QUIET_PERIOD_SECONDS - 0.01) == []
+        assert shutdown.tick(arrived, 1.4 + QUIET_PERIOD_SECONDS) == [Exit(ExitReason.DRAINED)]
 
 
 class TestGivingUp:
@@ -165,9 +165,9 @@
             actions = []
             match event:
                 case "told":
-                    shutdown.peer_told("n1", pause, now)
+                    shutdown.peer_notified("n1", pause, now)
                 case "not_told":
-                    actions += shutdown.peer_not_told("n2", now)
+                    actions += shutdown.peer_not_notified("n2", now)
                 case "busy":
                     work = BUSY
                 case "idle":
@@ -192,14 +192,14 @@
 
 class TestRoutesGiven:
     def test_longest_answer_counts(self):
-        given_here = RoutesGiven()
+        given_here = RouteHoldTracker()
         given_here.answered(("n0", "n1"), 5.0, 10.0)
         given_here.answered(("n0",), 1.0, 11.0)
         assert given_here.held("n0", 12.0) == 3.0
         assert given_here.held("n2", 12.0) == 0.0
 
     def test_expired_answers_leave_nothing_behind(self):
-        given_here = RoutesGiven()
+        given_here = RouteHoldTracker()
         given_here.answered(("n0",), 5.0, 0.0)
         given_here.forget_expired(5.0)
         assert given_here.held("n0", 0.0) == 0.0
--- a/tests/unit/search/drivers.py
+++ b/tests/unit/search/drivers.py
@@ -83,7 +83,7 @@
 
     def book(self, request_id: str, shard: int = 0, within: float = 1.0, **fields: Any) -> None:
         request = SlotRequest(request_id, shard, self.now + within, **fields)
-        self.carry(self.scheduler.slot_wanted(request, self.now))
+        self.carry(self.scheduler.slot_requested(request, self.now))
 
     def release(self, request_id: str, failure: Failure | None = None) -> None:
         self.carry(self.scheduler.slot_released(request_id, failure, None, self.now))
--- a/tests/unit/search/test_repeats.py
+++ b/tests/unit/search/test_repeats.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from limpethollow_policy.process.repeats import Repeats
+from limpethollow_policy.process.repeatlimits import RepeatLimits
 from limpethollow_policy.request.events import Failure
 from limpethollow_wire.services import HedgePolicy, Objective
 from tests.unit.search.test_answers import COVERAGE, warm_driver
@@ -53,7 +53,7 @@
         """Hedges of a busy group would lengthen the queue that made its calls late."""
         spent = {}
         for free_share in (1.0, 0.25, 0.0):
-            repeats = Repeats(HEDGE)
+            repeats = RepeatLimits(HEDGE)
             while repeats.spend_hedge():
                 pass
             spent[free_share] = 0
--- a/tests/unit/search/test_sharing.py
+++ b/tests/unit/search/test_sharing.py
@@ -1,6 +1,6 @@
 """One call a searcher, queries joined, answers kept."""
 
-from limpethollow_policy.process.results import ResultCache
+from limpethollow_policy.process.resultcaches import ResultCache
 from limpethollow_policy.request.gathers import Gather, Snapshot, query_key
 from limpethollow_wire.services import Objective
 from tests.unit.search.drivers import Driver, make_spec
