--- a/benchmarks/ablation/mechanisms.py
+++ b/benchmarks/ablation/mechanisms.py
@@ -169,9 +169,9 @@
     "callers are told all instances",
     Edit(
         _POLICY + "process/placements.py",
-        "    strong = strong_among(live)\n    near =",
-        "    return sorted(live, key=lambda i: i.name)[:MOST_ENTRIES]\n"
-        "    strong = strong_among(live)\n    near =",
+        "    strong = strongest_instances(live)\n    near =",
+        "    return sorted(live, key=lambda i: i.name)[:MAX_CALLER_INSTANCES]\n"
+        "    strong = strongest_instances(live)\n    near =",
     ),
 )
 _mechanism(
--- a/packages/limpethollow-node/src/limpethollow_node/engine/frames.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/frames.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from limpethollow_policy.process.catchups import Known
+from limpethollow_policy.process.catchups import KnownState
 from limpethollow_policy.process.crashes import CrashReport
 from limpethollow_policy.process.evacuations import Evacuation
 from limpethollow_policy.process.loadreports import LoadReport
@@ -42,7 +42,7 @@
     name: str
     incarnation: int
     failure_domain: str
-    known: Known
+    known: KnownState
 
 
 class Heartbeat(Frame, frozen=True, tag="beat"):
@@ -59,7 +59,7 @@
 
     ready: bool
     follows: bool
-    known: Known
+    known: KnownState
     sent_at: float
     interval: float
 
@@ -138,7 +138,7 @@
         known: Versions of the state that the sender has.
     """
 
-    known: Known
+    known: KnownState
 
 
 class BatchCall(Frame, frozen=True, tag="call"):
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/catalog.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/catalog.py
@@ -10,10 +10,10 @@
 from limpethollow_node.engine.process.roster import Roster
 from limpethollow_node.process import events
 from limpethollow_node.process.metrics import Metrics
-from limpethollow_policy.process.beliefs import Belief
-from limpethollow_policy.process.catchups import Known
+from limpethollow_policy.process.catchups import KnownState
 from limpethollow_policy.process.departures import Departures
 from limpethollow_policy.process.evacuations import Evacuation
+from limpethollow_policy.process.objectcaches import ObjectCache
 from limpethollow_policy.process.placements import Instance
 from limpethollow_policy.process.removals import REWRITE_GRACE_SECONDS, DelayedRemover, RemovalDelay
 from limpethollow_policy.process.revisions import Revision
@@ -92,11 +92,13 @@
         self._on_version = on_version
         self._searchers_confirmed_at = float("-inf")
         self._changes: list[_SearcherChange] = []
-        self.searchers: Belief[Searcher] = Belief(
+        self.searchers: ObjectCache[Searcher] = ObjectCache(
             self._on_searcher_put, self._on_searcher_gone, self._log_changes
         )
-        self.instances: Belief[Instance] = Belief(self._on_instance_put, self._on_instance_gone)
-        self.evacuations: Belief[Evacuation] = Belief(
+        self.instances: ObjectCache[Instance] = ObjectCache(
+            self._on_instance_put, self._on_instance_gone
+        )
+        self.evacuations: ObjectCache[Evacuation] = ObjectCache(
             self._on_evacuation_put, self._on_evacuation_gone
         )
 
@@ -140,9 +142,9 @@
         metrics.gauge("domains_evacuated", lambda: len(self.evacuations.items))
 
     @property
-    def known(self) -> Known:
+    def known(self) -> KnownState:
         """Return the revisions up to which this instance can update its peers."""
-        return Known.of(
+        return KnownState.of(
             self.version_number,
             self.searchers.changed_at,
             self.instances.changed_at,
@@ -150,9 +152,9 @@
         )
 
     @property
-    def known_up_to(self) -> Known:
+    def known_up_to(self) -> KnownState:
         """Return the revisions up to which this instance's state is complete."""
-        return Known.of(
+        return KnownState.of(
             self.version_number,
             self.searchers.revision,
             self.instances.revision,
@@ -300,7 +302,7 @@
 
 
 def _apply(
-    belief: Belief[T], news: SearcherNews | InstanceNews | EvacuationNews, put: dict[str, T]
+    belief: ObjectCache[T], news: SearcherNews | InstanceNews | EvacuationNews, put: dict[str, T]
 ) -> bool:
     revision = Revision(news.era, news.revision)
     if news.base is None:
@@ -308,7 +310,7 @@
     return belief.change(Revision(news.era, news.base), revision, put, news.gone)
 
 
-def _updates_since(kind: type[N], belief: Belief, revision: Revision) -> N:
+def _updates_since(kind: type[N], belief: ObjectCache, revision: Revision) -> N:
     delta = belief.since(revision)
     era, number = belief.revision
     if delta is None:
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/dispatch.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/dispatch.py
@@ -120,7 +120,7 @@
         self._service_limits = {
             name: limits.connections for name, limits in version.services.items()
         }
-        self.fleet.use_limits(version.services)
+        self.fleet.apply_cold_start_limits(version.services)
         self._services_in_use = version.service_names()
         self._apply_limits()
 
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/followers.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/followers.py
@@ -191,6 +191,6 @@
         if self._join_task is not None and not self._join_task.done():
             return
         entry = self._catalog.instances.items.get(self._roster.own.name)
-        listed = entry is not None and entry.is_same_place(self._roster.own)
+        listed = entry is not None and entry.differs_only_in_incarnation(self._roster.own)
         if self._entry.look(listed, self._catalog.instances.revision.era, now):
             self._join_task = asyncio.create_task(self._entry.join())
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/heartbeats.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/heartbeats.py
@@ -7,7 +7,7 @@
 from limpethollow_node.engine.frames import Heartbeat, encode_frame
 from limpethollow_node.engine.process.catalog import Catalog
 from limpethollow_node.engine.process.roster import Roster
-from limpethollow_policy.process.placements import leading_among
+from limpethollow_policy.process.placements import leading_instances
 from limpethollow_policy.process.topology import HEARTBEAT_SECONDS, SLOW_HEARTBEAT_SECONDS
 
 
@@ -39,7 +39,7 @@
 
     def send_due(self, now: float) -> None:
         """Send the heartbeats that are due, or all of them if this instance's state has changed."""
-        self._leading = frozenset(i.name for i in leading_among(self._roster.live))
+        self._leading = frozenset(i.name for i in leading_instances(self._roster.live))
         state = (self._roster.ready, self.follows)
         changed, self._sent_state = state != self._sent_state, state
         self.send_to([link for link in self._links.values() if changed or now >= link.beat_due])
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/news.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/news.py
@@ -14,10 +14,10 @@
 )
 from limpethollow_node.engine.process.catalog import Catalog
 from limpethollow_policy.process.catchups import (
-    ANSWER_SECONDS,
-    LACKING_SECONDS,
-    Known,
-    source_for,
+    ANSWER_TIMEOUT_SECONDS,
+    CATCH_UP_DELAY_SECONDS,
+    KnownState,
+    choose_source,
 )
 
 
@@ -51,7 +51,7 @@
         handler(link, frame)
         return True
 
-    def heard(self, link: PeerLink, known: Known) -> None:
+    def heard(self, link: PeerLink, known: KnownState) -> None:
         """Record a peer's revisions, and schedule a request for what is missing here.
 
         The request is sent only if updates are still missing after a delay. An instance that can't
@@ -60,7 +60,7 @@
         link.source.known = known
         own = self._catalog.known_up_to
         if known.is_ahead_of(own):
-            self._schedule_catch_up(LACKING_SECONDS if own.can_serve else 0.0)
+            self._schedule_catch_up(CATCH_UP_DELAY_SECONDS if own.can_serve else 0.0)
 
     def _schedule_catch_up(self, seconds: float) -> None:
         if self._catch_up_timer is None:
@@ -73,12 +73,12 @@
         now = asyncio.get_running_loop().time()
         links = {id(link.source): link for link in self._links.values()}
         known = self._catalog.known_up_to
-        source = source_for(known, [link.source for link in links.values()], now)
+        source = choose_source(known, [link.source for link in links.values()], now)
         if source is None:
             return
         source.asked_at = now
         links[id(source)].send(Ask(known))
-        self._schedule_catch_up(ANSWER_SECONDS)
+        self._schedule_catch_up(ANSWER_TIMEOUT_SECONDS)
 
     def _apply_version(self, link: PeerLink, news: VersionNews) -> None:
         self._catalog.offer_version(news.version, link.name or link.host)
@@ -94,7 +94,7 @@
 
         def handle(_: PeerLink, news: AnyFrame) -> None:
             if not take(news):
-                self._schedule_catch_up(LACKING_SECONDS)
+                self._schedule_catch_up(CATCH_UP_DELAY_SECONDS)
 
         return handle
 
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/peers.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/peers.py
@@ -28,7 +28,7 @@
 from limpethollow_node.engine.process.silence import SilenceJudge
 from limpethollow_node.process import events
 from limpethollow_node.process.metrics import Metrics
-from limpethollow_policy.process.catchups import Known
+from limpethollow_policy.process.catchups import KnownState
 from limpethollow_policy.process.topology import HEARTBEAT_SECONDS, WatchRole, link_targets
 from limpethollow_wire.exceptions import LimpethollowError
 
@@ -309,7 +309,7 @@
         if heartbeat.ready:
             self._roster.set_silent(link.name, False, link.heard_at)
 
-    def _supports_eras(self, known: Known) -> bool:
+    def _supports_eras(self, known: KnownState) -> bool:
         """Return whether a peer's updates can be distinguished from those of an earlier store era.
 
         Releases without eras do not send one, so they do not count as relays if the store has eras.
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/quarantines.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/quarantines.py
@@ -4,7 +4,7 @@
 
 from limpethollow_node.process import events
 from limpethollow_node.process.metrics import Metrics
-from limpethollow_policy.process.crashes import CrashLedger, CrashReport, Standing
+from limpethollow_policy.process.crashes import CrashRecords, CrashReport, Standing
 from limpethollow_policy.request.crash_guards import CrashGuard
 from limpethollow_wire.exceptions import Quarantined
 
@@ -37,7 +37,7 @@
 
     def __init__(self, metrics: Metrics, clock: Clock) -> None:
         self._clock = clock
-        self._ledger = CrashLedger()
+        self._ledger = CrashRecords()
         self._metrics = metrics
         self.on_reports: Callable[[list[CrashReport]], None] = lambda reports: None
         self.on_quarantined: Callable[[CrashReport], None] = lambda report: None
@@ -158,7 +158,7 @@
     def _release_explained(self) -> None:
         """Release requests whose crashes are explained by another quarantined request."""
         for fingerprint in self._ledger.explained():
-            report = self._ledger.try_again(fingerprint, self._clock())
+            report = self._ledger.discard_trials(fingerprint, self._clock())
             was = Standing.QUARANTINED.value
             events.REQUEST_RELEASED.log(fingerprint=fingerprint, was=was, reason="explained")
             self.on_released(fingerprint)
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/roster.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/roster.py
@@ -3,7 +3,7 @@
 from collections import OrderedDict
 from collections.abc import Callable
 
-from limpethollow_policy.process.placements import Instance, leading_among
+from limpethollow_policy.process.placements import Instance, leading_instances
 
 # Weight of an instance that accepts no callers, relative to one that does, in the division of
 # connections and repeated sends: it makes calls for others only while their own are lost.
@@ -68,7 +68,7 @@
         each of the others a 209th. With a 76th each, half of the parts missing from answers had
         not been requested from a second searcher, because the budget was spent.
         """
-        leading = leading_among(self.known)
+        leading = leading_instances(self.known)
         parts = len(leading) + (len(self) - len(leading)) * _NON_LEADING_WEIGHT
         return parts if self.own in leading else parts / _NON_LEADING_WEIGHT
 
--- a/packages/limpethollow-node/src/limpethollow_node/platform/process.py
+++ b/packages/limpethollow-node/src/limpethollow_node/platform/process.py
@@ -42,7 +42,7 @@
 from limpethollow_policy.process.changepaces import ChangePace
 from limpethollow_policy.process.fleets import Fleet
 from limpethollow_policy.process.lifetimes import ListLifetime
-from limpethollow_policy.process.placements import Instance, entries_for
+from limpethollow_policy.process.placements import Instance, instances_for_caller
 from limpethollow_policy.process.sendbudgets import SendBudget
 from limpethollow_policy.process.slackclaims import SlackClaim
 from limpethollow_policy.process.topology import WatchRole
@@ -312,7 +312,7 @@
     def _addresses_for(self, domain: str) -> list[str]:
         searchers = self._dispatch.fleet.domains(self._services)
         live = self._roster.live
-        chosen = entries_for(live, domain, searchers, self._roster.known)
+        chosen = instances_for_caller(live, domain, searchers, self._roster.known)
         return [instance.address for instance in chosen] or [self._roster.own.address]
 
     def _list_lifetime(self) -> float:
--- a/packages/limpethollow-node/src/limpethollow_node/platform/sinks.py
+++ b/packages/limpethollow-node/src/limpethollow_node/platform/sinks.py
@@ -20,7 +20,7 @@
 )
 from limpethollow_node.platform.store import Change
 from limpethollow_node.process import events
-from limpethollow_policy.process.beliefs import Belief
+from limpethollow_policy.process.objectcaches import ObjectCache
 from limpethollow_policy.process.revisions import Revision
 from limpethollow_policy.version.routes import RoutingVersion
 from limpethollow_wire.exceptions import BadRequest
@@ -120,7 +120,7 @@
     def __init__(
         self,
         kind: str,
-        belief: Belief[T],
+        belief: ObjectCache[T],
         decode: Callable[[StoredObject], T],
         news: type[SearcherNews] | type[InstanceNews] | type[EvacuationNews],
         tell: Tell,
--- a/packages/limpethollow-node/src/limpethollow_node/request/owners.py
+++ b/packages/limpethollow-node/src/limpethollow_node/request/owners.py
@@ -14,7 +14,7 @@
 from limpethollow_node.process.members import MemberKeeper
 from limpethollow_node.process.metrics import Metrics
 from limpethollow_node.request.parts import GRACE_SECONDS, GroupParts
-from limpethollow_policy.process.dispatches import find_dispatch
+from limpethollow_policy.process.dispatches import find_dispatch_policy
 from limpethollow_policy.process.owners import SilentOwners, group_key, spread_over_owners
 from limpethollow_policy.request.forwards import ForwardPlan
 from limpethollow_policy.request.hedges import RatioBudget
@@ -116,7 +116,7 @@
         spec = record.spec
         assert spec is not None
         key = group_key(record.name, index)
-        dispatch = find_dispatch(spec.dispatch)
+        dispatch = find_dispatch_policy(spec.dispatch)
         order = dispatch(key, self._own_id, self._members.routable())
         if self._own_id not in order:
             order = [*order, self._own_id]
@@ -186,7 +186,7 @@
         self._silent.answered(answerer)
         now = time.monotonic()
         for owner in pending.values():
-            self._silent.was_silent(owner, now)
+            self._silent.mark_silent(owner, now)
 
     def _ask_one(
         self,
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/answers.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/answers.py
@@ -20,7 +20,7 @@
 }
 
 
-class Verdicts:
+class AnswerBuilder:
     """Builds the final answer of a search from the parts that it has collected.
 
     Args:
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/arrivals.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/arrivals.py
@@ -55,7 +55,7 @@
             span if count >= _MAX_REQUESTS_IN_SPAN and span > 0 else max(_MIN_SPAN, span)
         )
 
-    def tells_rate(self, now: float) -> bool:
+    def is_rate_known(self, now: float) -> bool:
         """Return whether enough requests or time have passed to measure the rate."""
         if self._first_at is None:
             return False
@@ -74,11 +74,11 @@
         known = 1.0 - math.exp(-(now - self._first_at) / _USUAL_SECONDS)
         return self._decayed_rate(now) / known
 
-    def any_refused(self, now: float) -> bool:
+    def has_recent_refusal(self, now: float) -> bool:
         """Return whether a request was refused within the last span."""
         return self._refused_at >= now - _MIN_SPAN
 
-    def highest_admitted(self, now: float) -> float:
+    def peak_admitted_rate(self, now: float) -> float:
         """Return the highest rate of admitted requests within one span, in requests per second.
 
         If no span contains enough of them, it is the rate of the last few requests.
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/calls.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/calls.py
@@ -22,8 +22,8 @@
         hedge: Whether it duplicates work of a call that was still open.
         hedged: Pairs of query key and shard that another call duplicates.
         cancelled: Whether its cancellation was requested.
-        repeat_is_paid: Whether a retry was already taken from the budget for its failure.
-        to_doubtful: Whether the previous call to its searcher had failed.
+        retry_is_charged: Whether a retry was already taken from the budget for its failure.
+        searcher_was_doubtful: Whether the previous call to its searcher had failed.
     """
 
     id: str
@@ -34,8 +34,8 @@
     hedge: bool = False
     hedged: set[tuple[str, int]] = field(default_factory=set)
     cancelled: bool = False
-    repeat_is_paid: bool = False
-    to_doubtful: bool = False
+    retry_is_charged: bool = False
+    searcher_was_doubtful: bool = False
 
     @property
     def is_inventory(self) -> bool:
@@ -67,7 +67,7 @@
         """Add a call; an inventory call has no work and occupies no slot."""
         self._last_id += 1
         call = OpenCall(str(self._last_id), searcher, now, snapshot, work)
-        call.to_doubtful = searcher.is_doubtful
+        call.searcher_was_doubtful = searcher.is_doubtful
         self._calls[call.id] = call
         if not call.is_inventory:
             searcher.call_started(call.id, now)
@@ -89,11 +89,11 @@
         call.cancelled = True
         self._count_work(call, -1)
 
-    def busy_shards(self, key: str, snapshot: Snapshot) -> frozenset[int]:
+    def requested_shards(self, key: str, snapshot: Snapshot) -> frozenset[int]:
         """Return the shards requested by open calls for a query on a snapshot."""
         return frozenset(self._open_counts.get((key, snapshot), ()))
 
-    def asks_inventory_of(self, searcher: SearcherState) -> bool:
+    def has_inventory_call(self, searcher: SearcherState) -> bool:
         """Return whether an inventory call to the searcher is open."""
         return any(c.is_inventory and c.searcher is searcher for c in self._calls.values())
 
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/catchups.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/catchups.py
@@ -9,13 +9,13 @@
 # store at a start. Only what is still missing after this delay is requested: an answer can take
 # 100 kB, and sending it unrequested on each new link caused most of the traffic between failure
 # domains in a rolling restart of 63 instances (57 of 183 MB, and 73 MB for versions).
-LACKING_SECONDS = 0.1
+CATCH_UP_DELAY_SECONDS = 0.1
 # Time in which a peer must answer before another one is asked.
-ANSWER_SECONDS = 0.5
+ANSWER_TIMEOUT_SECONDS = 0.5
 
 
 @dataclass(slots=True, frozen=True)
-class Known:
+class KnownState:
     """The configuration version and the revisions that an instance has.
 
     Attributes:
@@ -36,7 +36,7 @@
     @classmethod
     def of(
         cls, version: int, searchers: Revision, instances: Revision, evacuations: Revision
-    ) -> "Known":
+    ) -> "KnownState":
         """Build the object from the revision of each kind."""
         era = max(searchers.era, instances.era, evacuations.era)
         numbers = (r.number if r.era == era else 0 for r in (searchers, instances, evacuations))
@@ -47,7 +47,7 @@
         """Return whether it is enough to serve callers."""
         return self.version >= 0 and self.searchers > 0
 
-    def is_ahead_of(self, other: "Known") -> bool:
+    def is_ahead_of(self, other: "KnownState") -> bool:
         """Return whether the version or any revision is newer than the other's."""
         kinds = (
             (self.searchers, other.searchers),
@@ -73,12 +73,12 @@
         asked_at: Monotonic time of the last request to it, in seconds.
     """
 
-    known: Known = Known()
+    known: KnownState = KnownState()
     far: bool = False
     asked_at: float = float("-inf")
 
 
-def source_for(own: Known, sources: Collection[Source], now: float) -> Source | None:
+def choose_source(own: KnownState, sources: Collection[Source], now: float) -> Source | None:
     """Return the peer to ask now; None if no peer is ahead.
 
     One peer is asked at a time: peers not asked recently come first, and among these the ones in
@@ -87,6 +87,6 @@
     ahead = [source for source in sources if source.known.is_ahead_of(own)]
     return min(
         ahead,
-        key=lambda source: (now - source.asked_at < 2 * ANSWER_SECONDS, source.far),
+        key=lambda source: (now - source.asked_at < 2 * ANSWER_TIMEOUT_SECONDS, source.far),
         default=None,
     )
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/changepaces.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/changepaces.py
@@ -3,9 +3,9 @@
 # Changes that arrive within this time are read with one call to the store. A searcher whose entry
 # is removed stays in use as a last choice for a while, and all calls to it must end before the time
 # that it was given to leave is over.
-FIRST_SECONDS = 0.25
+INITIAL_PAUSE_SECONDS = 0.25
 # Upper bound of the pause, which doubles while changes continue at the first start of the system.
-LONGEST_SECONDS = 1.0
+MAX_PAUSE_SECONDS = 1.0
 
 
 class ChangePace:
@@ -26,13 +26,13 @@
     def __init__(self, slow_until: float) -> None:
         self._slow_until = slow_until
         self._changed_at = float("-inf")
-        self._pause = FIRST_SECONDS
+        self._pause = INITIAL_PAUSE_SECONDS
 
     def changed(self, now: float) -> float:
         """Record that changes were read; return the seconds to wait before the next call."""
         if now >= self._slow_until or now - self._changed_at > 2 * self._pause:
-            self._pause = FIRST_SECONDS
+            self._pause = INITIAL_PAUSE_SECONDS
         else:
-            self._pause = min(2 * self._pause, LONGEST_SECONDS)
+            self._pause = min(2 * self._pause, MAX_PAUSE_SECONDS)
         self._changed_at = now
         return self._pause
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/choices.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/choices.py
@@ -46,7 +46,7 @@
     return register
 
 
-def find_choice(name: str) -> ReplicaScore:
+def find_replica_choice(name: str) -> ReplicaScore:
     """Return a registered replica choice.
 
     Raises:
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/crashes.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/crashes.py
@@ -76,7 +76,7 @@
         """Return the evidence that remains after the trials were found inconclusive."""
         return CrashEvidence(self.searchers, epoch=self.epoch + 1)
 
-    def unexplained(self, searchers: frozenset[str]) -> "CrashEvidence":
+    def without_searchers(self, searchers: frozenset[str]) -> "CrashEvidence":
         """Return this evidence without searchers whose ends had another cause."""
         return CrashEvidence(self.searchers - searchers, self.on_trial - searchers, self.epoch)
 
@@ -121,7 +121,7 @@
     was_retried: bool = False
 
 
-class CrashLedger:
+class CrashRecords:
     """The evidence on all requests, from this instance and from others.
 
     Evidence of the same epoch is merged and never reduced, and a later epoch replaces an earlier
@@ -203,13 +203,13 @@
         attributed: frozenset[str] = frozenset()
         found = []
         for name, evidence in suspects:
-            if evidence.unexplained(attributed).standing is Standing.QUARANTINED:
+            if evidence.without_searchers(attributed).standing is Standing.QUARANTINED:
                 attributed |= evidence.searchers
             else:
                 found.append(name)
         return found
 
-    def try_again(self, fingerprint: str, now: float) -> CrashReport:
+    def discard_trials(self, fingerprint: str, now: float) -> CrashReport:
         """Discard a request's trials, which were inconclusive, so that it runs on trial again.
 
         Returns:
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/dispatches.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/dispatches.py
@@ -21,7 +21,7 @@
     return register
 
 
-def find_dispatch(name: str) -> DispatchOrder:
+def find_dispatch_policy(name: str) -> DispatchOrder:
     """Return a registered dispatch policy.
 
     The policy takes the key of the group, the id of the requesting instance and the reachable
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/fleets.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/fleets.py
@@ -54,7 +54,7 @@
         """Return a searcher by its id."""
         return self._by_id.get(searcher_id)
 
-    def use_limits(self, services: Mapping[str, ServiceLimits]) -> None:
+    def apply_cold_start_limits(self, services: Mapping[str, ServiceLimits]) -> None:
         """Apply the cold-start limits of each service."""
         self._cold_rates = {name: limits.cold_rate for name, limits in services.items()}
         in_use = services.keys() | {name for name, found in self._by_service.items() if found}
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/beliefs.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/objectcaches.py
@@ -31,7 +31,7 @@
     gone: list[str]
 
 
-class Belief(Generic[T]):
+class ObjectCache(Generic[T]):
     """Objects of one kind by name, as they were at one revision of the store.
 
     The store numbers all its changes with one revision counter, so updates from any two sources can
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/owners.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/owners.py
@@ -68,7 +68,7 @@
     def __init__(self) -> None:
         self._until: dict[str, float] = {}
 
-    def was_silent(self, owner: str, now: float) -> None:
+    def mark_silent(self, owner: str, now: float) -> None:
         """Record that an owner gave no answer while another did."""
         self._until[owner] = now + _SILENT_SECONDS
 
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/pins.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/pins.py
@@ -15,7 +15,7 @@
 AskInventory = Callable[[SearcherState, float], None]
 
 
-class Pin(Enum):
+class PinResult(Enum):
     """Result of an attempt to choose a snapshot.
 
     Attributes:
@@ -29,7 +29,7 @@
     IMPOSSIBLE = "impossible"
 
 
-class Pinner:
+class SnapshotPinner:
     """Pins searches to snapshots by the versions that the searchers last reported.
 
     Args:
@@ -45,7 +45,7 @@
         self._calls = calls
         self._ask_inventory = ask_inventory
 
-    def pin(self, gather: Gather, now: float) -> Pin:
+    def pin(self, gather: Gather, now: float) -> PinResult:
         """Choose the snapshot of a search if possible.
 
         Searchers without a recent report are always asked, even if the others can serve all shards:
@@ -72,45 +72,45 @@
             times.append(gather.ask_again_at)
         return times
 
-    def _pin_requested(self, gather: Gather, version: int, asking: bool, now: float) -> Pin:
+    def _pin_requested(self, gather: Gather, version: int, asking: bool, now: float) -> PinResult:
         """Pin the coordinator's version once the searchers' versions are known here."""
         if (
             asking
             and now < self.pin_deadline(gather)
             and not self._is_servable(gather, version, now)
         ):
-            return Pin.WAITING
+            return PinResult.WAITING
         return self._choose(gather, version)
 
     def _is_servable(self, gather: Gather, version: int, now: float) -> bool:
         return version in self._replicas.servable(gather.search.shards, 0, now)
 
-    def _pin_partial(self, gather: Gather, asking: bool, now: float) -> Pin:
+    def _pin_partial(self, gather: Gather, asking: bool, now: float) -> PinResult:
         """Pin a snapshot that some shards can't serve, once waiting can't improve it."""
         search = gather.search
         best = self._replicas.best_version(search.shards, search.min_version, now)
         if now < self.pin_deadline(gather):
             if asking:
-                return Pin.WAITING
+                return PinResult.WAITING
             if self._may_improve(gather, best, now):
                 self._ask_again(gather, now)
-                return Pin.WAITING
+                return PinResult.WAITING
         if best is not None:
             return self._choose(gather, best)
         if asking:
-            return Pin.WAITING
+            return PinResult.WAITING
         if search.min_version and self._usable_holders(gather, now):
             # A booking's reply announced this version, so it will become available: keep asking.
             self._ask_again(gather, now)
-            return Pin.WAITING
+            return PinResult.WAITING
         if self._returns_before(gather, gather.search.deadline, now):
-            return Pin.WAITING
-        return Pin.IMPOSSIBLE
+            return PinResult.WAITING
+        return PinResult.IMPOSSIBLE
 
-    def _choose(self, gather: Gather, version: int) -> Pin:
+    def _choose(self, gather: Gather, version: int) -> PinResult:
         if not gather.search.versions_only:
             gather.pin(Snapshot(self._replicas.epoch, version))
-        return Pin.DONE
+        return PinResult.DONE
 
     def _ask_stale(self, gather: Gather, now: float) -> bool:
         """Ask holders with stale version lists; return whether an answer is pending."""
@@ -118,7 +118,7 @@
         for searcher in self._replicas.stale(shards, now):
             self._ask(searcher, now)
         holders = self._replicas.usable_holders(shards, now)
-        return any(self._calls.asks_inventory_of(searcher) for searcher in holders)
+        return any(self._calls.has_inventory_call(searcher) for searcher in holders)
 
     def _ask_again(self, gather: Gather, now: float) -> None:
         """Ask for versions again although they are known, with a pause that doubles.
@@ -134,7 +134,7 @@
             self._ask(searcher, now)
 
     def _ask(self, searcher: SearcherState, now: float) -> None:
-        if not self._calls.asks_inventory_of(searcher):
+        if not self._calls.has_inventory_call(searcher):
             self._ask_inventory(searcher, now)
 
     def _may_improve(self, gather: Gather, best: int | None, now: float) -> bool:
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/placements.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/placements.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, replace
 
 # Maximum number of instances that are listed to a caller.
-MOST_ENTRIES = 64
+MAX_CALLER_INSTANCES = 64
 # If there are many instances, only the strongest serve callers, but at least this many. With 65,
 # each would get one search in 2.5 s, too few to learn which searchers are slow, and less than one
 # of the 54 connections that a searcher accepts.
@@ -35,12 +35,12 @@
     strength: float = 1.0
     incarnation: int = 0
 
-    def is_same_place(self, other: "Instance") -> bool:
+    def differs_only_in_incarnation(self, other: "Instance") -> bool:
         """Return whether the other differs from this one in its incarnation at most."""
         return replace(other, incarnation=self.incarnation) == self
 
 
-def entries_for(
+def instances_for_caller(
     live: Collection[Instance],
     caller_domain: str,
     searchers: Mapping[str, int],
@@ -59,20 +59,22 @@
         usual: All expected instances; if fewer than half of those that would be chosen are live,
             instances in the other failure domains are included.
     """
-    strong = strong_among(live)
+    strong = strongest_instances(live)
     near = [instance for instance in strong if searchers.get(instance.failure_domain)]
-    wanted = [i for i in strong_among(usual) if searchers.get(i.failure_domain)]
+    wanted = [i for i in strongest_instances(usual) if searchers.get(i.failure_domain)]
     chosen = near if near and 2 * len(near) >= len(wanted) else strong
-    leading = leading_among(chosen)
-    return sorted(leading, key=lambda i: (i.failure_domain != caller_domain, i.name))[:MOST_ENTRIES]
+    leading = leading_instances(chosen)
+    return sorted(leading, key=lambda i: (i.failure_domain != caller_domain, i.name))[
+        :MAX_CALLER_INSTANCES
+    ]
 
 
-def leading_among(instances: Collection[Instance]) -> list[Instance]:
+def leading_instances(instances: Collection[Instance]) -> list[Instance]:
     """Return the instances that serve callers and make calls for other instances.
 
     If there are many, these are the strongest of each failure domain, equally many in each.
     """
-    strong = strong_among(instances)
+    strong = strongest_instances(instances)
     if len(strong) <= _MIN_LEADING:
         return strong
     domains = by_domain(sorted(strong, key=lambda i: (-i.strength, i.name)))
@@ -81,7 +83,7 @@
     return [instance for members in domains.values() for instance in members[:each]]
 
 
-def strong_among(instances: Collection[Instance]) -> list[Instance]:
+def strongest_instances(instances: Collection[Instance]) -> list[Instance]:
     """Return the instances that are strong enough for a share of the common work."""
     strongest = max((instance.strength for instance in instances), default=0.0)
     return [i for i in instances if i.strength >= _MIN_STRENGTH_SHARE * strongest]
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/replicas.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/replicas.py
@@ -7,7 +7,7 @@
 
 from limpethollow_policy.connection.connection_limits import slots_per_owner
 from limpethollow_policy.connection.searchers import SearcherState
-from limpethollow_policy.process.choices import Candidate, find_choice
+from limpethollow_policy.process.choices import Candidate, find_replica_choice
 from limpethollow_policy.request.gathers import Gather, Snapshot
 from limpethollow_policy.request.snapshots import Inventory, choose_version, servable_versions
 from limpethollow_policy.version.groups import Group
@@ -77,7 +77,7 @@
         self.shards = group.shards
         self.queries_per_call = spec.queries_per_call
         self._max_age = spec.inventory_max_age
-        self._score = find_choice(spec.replica_choice)
+        self._score = find_replica_choice(spec.replica_choice)
         self._searchers = {}
         for searcher in group.searchers:
             slots = slots_per_owner(searcher, spec.owners)
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/schedulers.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/schedulers.py
@@ -2,9 +2,9 @@
 
 from random import Random
 
-from limpethollow_policy.process.answers import Verdicts
+from limpethollow_policy.process.answers import AnswerBuilder
 from limpethollow_policy.process.calls import CallTable
-from limpethollow_policy.process.pins import Pin, Pinner
+from limpethollow_policy.process.pins import PinResult, SnapshotPinner
 from limpethollow_policy.process.repeatlimits import RepeatLimits
 from limpethollow_policy.process.replicas import ReplicaSet
 from limpethollow_policy.process.searches import ActiveSearches
@@ -71,8 +71,8 @@
         self._slots = SlotGranter(
             self._replicas, self._waits, self._outbox, self._calls, self._sender.ask_inventory
         )
-        self._pinner = Pinner(self._replicas, self._calls, self._sender.ask_inventory)
-        self._verdicts = Verdicts(self._replicas, self._waits)
+        self._pinner = SnapshotPinner(self._replicas, self._calls, self._sender.ask_inventory)
+        self._verdicts = AnswerBuilder(self._replicas, self._waits)
 
     @property
     def replicas(self) -> ReplicaSet:
@@ -297,9 +297,9 @@
             self._refuse_for_restart(gather, now)
             return False
         match self._pinner.pin(gather, now):
-            case Pin.WAITING:
+            case PinResult.WAITING:
                 return False
-            case Pin.IMPOSSIBLE:
+            case PinResult.IMPOSSIBLE:
                 self._answer(gather, "no_replica", now)
                 return False
         if search.versions_only:
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/senders.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/senders.py
@@ -67,7 +67,7 @@
     def is_covered_by_others(self, gather: Gather, version: int) -> bool:
         """Return whether open calls and cached results cover a whole search at a version."""
         snapshot = Snapshot(self._replicas.epoch, version)
-        busy = self._calls.busy_shards(gather.key, snapshot)
+        busy = self._calls.requested_shards(gather.key, snapshot)
         return self._results.has_all(gather.key, snapshot, gather.search.shards - busy)
 
     def fill(self, gather: Gather) -> None:
@@ -76,7 +76,7 @@
             self._outbox.count("shared_answers", "kept")
         if gather.snapshot is None:
             return
-        joined = gather.open_shards & self._calls.busy_shards(gather.key, gather.snapshot)
+        joined = gather.open_shards & self._calls.requested_shards(gather.key, gather.snapshot)
         gather.idle = gather.open_shards - joined
         if joined:
             self._outbox.count("shared_answers", "joined")
@@ -176,7 +176,7 @@
     def _mark_idle(self, call: OpenCall) -> None:
         """Mark the shards of an ended call idle that are still open and in no other call."""
         for key, shards in call.work.items():
-            lost = shards - self._calls.busy_shards(key, call.snapshot)
+            lost = shards - self._calls.requested_shards(key, call.snapshot)
             for gather in self._active.asking(key):
                 if gather.snapshot == call.snapshot:
                     gather.idle |= lost & gather.open_shards
@@ -200,10 +200,10 @@
             return
         if not may_retry:
             gather.give_up(shard, reason)
-        elif call.repeat_is_paid or self._repeats.spend_retry():
-            if not call.repeat_is_paid:
+        elif call.retry_is_charged or self._repeats.spend_retry():
+            if not call.retry_is_charged:
                 self._outbox.count("retries", reason)
-            call.repeat_is_paid = True
+            call.retry_is_charged = True
         else:
             self._outbox.count("retries_refused", "budget")
             gather.give_up(shard, reason)
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/shedding.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/shedding.py
@@ -232,7 +232,7 @@
 
     def _has_room(self, now: float) -> bool:
         """Return whether the capacity for a search would otherwise go unused."""
-        return not self._arrivals.any_refused(now) and self._arrivals.rate(now) < self._rate
+        return not self._arrivals.has_recent_refusal(now) and self._arrivals.rate(now) < self._rate
 
     def _min_ended(self, now: float, objective: float) -> float:
         """Return the number of searches that must have ended before the rate is cut."""
@@ -243,7 +243,7 @@
 
     def _cut(self, share: float, now: float, objective: float) -> None:
         deep = share > _CUT_DEEP_ABOVE
-        rate = min(self._rate, self._arrivals.highest_admitted(now))
+        rate = min(self._rate, self._arrivals.peak_admitted_rate(now))
         self._lower_rate(rate * (_DEEP_CUT_FACTOR if deep else _CUT_FACTOR), now, objective)
 
     def _lower_rate(self, rate: float, now: float, objective: float) -> None:
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/singleshedding.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/singleshedding.py
@@ -70,9 +70,9 @@
         if self._answers_are_quick(now):
             return False
         self._full_at = now
-        if now < self._cut_at + objective or not self._answers.tells_rate(now):
+        if now < self._cut_at + objective or not self._answers.is_rate_known(now):
             return False
-        rate = min(self._rate, _FULL_CUT_FACTOR * self._answers.highest_admitted(now))
+        rate = min(self._rate, _FULL_CUT_FACTOR * self._answers.peak_admitted_rate(now))
         self._lower_rate(rate, now, _EFFECT_DELAY_FRACTION * objective)
         self._evaluate_at = now
         return True
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/slots.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/slots.py
@@ -104,7 +104,7 @@
         free = [s for s in fresh if s.has_free_slot]
         if not free:
             for searcher in holders:
-                if searcher not in fresh and not self._calls.asks_inventory_of(searcher):
+                if searcher not in fresh and not self._calls.has_inventory_call(searcher):
                     self._ask_inventory(searcher, now)
         return free
 
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/suspects.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/suspects.py
@@ -5,7 +5,7 @@
 from limpethollow_policy.process.calls import CallTable, OpenCall
 from limpethollow_policy.process.crashes import (
     CrashEvidence,
-    CrashLedger,
+    CrashRecords,
     CrashReport,
     Standing,
 )
@@ -22,7 +22,7 @@
 
     def __init__(self, calls: CallTable) -> None:
         self._calls = calls
-        self._ledger = CrashLedger()
+        self._ledger = CrashRecords()
 
     def standing(self, key: str) -> Standing:
         """Return the current standing of a query."""
@@ -58,8 +58,10 @@
 
     def forget(self) -> None:
         """Trust all queries again."""
-        self._ledger = CrashLedger()
+        self._ledger = CrashRecords()
 
     def _was_trial(self, call: OpenCall, key: str) -> bool:
         is_alone = len(call.work) == 1 and not any(key in other.work for other in self._calls)
-        return is_alone and not call.to_doubtful and self.standing(key) is Standing.SUSPECT
+        return (
+            is_alone and not call.searcher_was_doubtful and self.standing(key) is Standing.SUSPECT
+        )
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/topology.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/topology.py
@@ -4,7 +4,7 @@
 from hashlib import blake2b
 from random import Random
 
-from limpethollow_policy.process.placements import Instance, by_domain, leading_among
+from limpethollow_policy.process.placements import Instance, by_domain, leading_instances
 
 # Up to this many instances form a full mesh: 16 links with two heartbeats per second each cost an
 # instance less than half a percent of a core.
@@ -43,7 +43,7 @@
     the calls made there by as much.
     """
     relays = set()
-    for members in by_domain(leading_among(live)).values():
+    for members in by_domain(leading_instances(live)).values():
         relays.add(max(members, key=lambda instance: _rendezvous_hash("relay", instance.name)).name)
     return frozenset(relays)
 
@@ -54,7 +54,7 @@
     if len(others) < FULL_MESH_SIZE:
         return frozenset(instance.name for instance in others)
     wanted = set(relays_among(known))
-    leading = leading_among(known)
+    leading = leading_instances(known)
     far = LINKS_PER_OTHER_DOMAIN if own in leading else 0
     others = [i for i in leading if i.name not in wanted and i.name != own.name]
     for domain, members in by_domain(others).items():
--- a/tests/unit/admission/test_baselines.py
+++ b/tests/unit/admission/test_baselines.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from limpethollow_policy.process.choices import Candidate, find_choice
-from limpethollow_policy.process.dispatches import find_dispatch
+from limpethollow_policy.process.choices import Candidate, find_replica_choice
+from limpethollow_policy.process.dispatches import find_dispatch_policy
 from limpethollow_policy.version.policy_checks import check_policies
 from limpethollow_wire.exceptions import BadRequest
 from limpethollow_wire.instances import InstanceInfo
@@ -20,12 +20,12 @@
 
 class TestDispatch:
     def test_owner_dispatch_asks_the_same_instance_wherever_a_search_arrives(self):
-        order = find_dispatch("owner")
+        order = find_dispatch_policy("owner")
         first = {order("finder/0", instance.id, INSTANCES)[0] for instance in INSTANCES}
         assert len(first) == 1
 
     def test_direct_dispatch_stays_where_the_search_arrived(self):
-        order = find_dispatch("direct")
+        order = find_dispatch_policy("direct")
         assert [order("finder/0", i.id, INSTANCES) for i in INSTANCES] == [
             [i.id] for i in INSTANCES
         ]
@@ -33,7 +33,7 @@
 
 class TestReplicaChoice:
     def test_random_choice_ignores_the_evidence(self):
-        score, rng = find_choice("random"), Random(7)
+        score, rng = find_replica_choice("random"), Random(7)
         good, bad = Candidate(9, 9, 0.0), Candidate(0, 1, 9.0, straggles=True, may_wait=True)
         wins = sum(score(good, rng) > score(bad, rng) for _ in range(1000))
         assert 400 < wins < 600
--- a/tests/unit/engine/test_beliefs.py
+++ b/tests/unit/engine/test_beliefs.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from limpethollow_policy.process.beliefs import Belief
+from limpethollow_policy.process.objectcaches import ObjectCache
 from limpethollow_policy.process.revisions import Revision
 
 
@@ -13,8 +13,8 @@
     return Revision(era, number)
 
 
-def belief() -> Belief[int]:
-    return Belief(lambda item: None, lambda name: None)
+def belief() -> ObjectCache[int]:
+    return ObjectCache(lambda item: None, lambda name: None)
 
 
 class TestOrder:
@@ -70,7 +70,7 @@
 class TestCallbacks:
     def test_each_change_is_told_once(self):
         put, gone = [], []
-        found: Belief[int] = Belief(put.append, gone.append)
+        found: ObjectCache[int] = ObjectCache(put.append, gone.append)
         found.replace({"a": 1, "b": 2}, at(5))
         found.replace({"a": 1, "c": 3}, at(6))
         assert (put, gone) == ([1, 2, 3], ["b"])
@@ -111,7 +111,9 @@
 
     def test_only_the_first_news_of_an_era_say_so(self):
         begins = []
-        found: Belief[int] = Belief(lambda item: begins.append(found.begins_era), lambda name: None)
+        found: ObjectCache[int] = ObjectCache(
+            lambda item: begins.append(found.begins_era), lambda name: None
+        )
         found.replace({"a": 1}, at(20))
         found.replace({"a": 2}, at(18, era=2))
         found.change(at(18, era=2), at(19, era=2), {"a": 3}, [])
--- a/tests/unit/engine/test_crashes.py
+++ b/tests/unit/engine/test_crashes.py
@@ -12,7 +12,7 @@
     QUARANTINE_SECONDS,
     RETRIAL_SECONDS,
     CrashEvidence,
-    CrashLedger,
+    CrashRecords,
     CrashReport,
     Standing,
 )
@@ -106,7 +106,7 @@
         random.shuffle(other)
         standings = set()
         for order in (told, other):
-            ledger = CrashLedger()
+            ledger = CrashRecords()
             for each in order:
                 ledger.add(CrashReport(FINGERPRINT, each), 1.0)
             standings.add(ledger.evidence(FINGERPRINT).standing)
@@ -114,21 +114,21 @@
 
     def test_old_evidence_does_not_undo_a_release(self):
         """Guards against a release that ends with the next link to an instance that missed it."""
-        ledger, old = CrashLedger(), CrashReport(FINGERPRINT, evidence(4, 2))
+        ledger, old = CrashRecords(), CrashReport(FINGERPRINT, evidence(4, 2))
         ledger.add(old, 1.0)
         ledger.release(FINGERPRINT, 2.0)
         ledger.add(old, 3.0)
         assert ledger.evidence(FINGERPRINT).standing is Standing.TRUSTED
 
     def test_a_quarantine_ends_by_itself_after_a_day(self):
-        ledger = CrashLedger()
+        ledger = CrashRecords()
         ledger.add(CrashReport(FINGERPRINT, evidence(4, 2)), 1.0)
         assert not ledger.expire(QUARANTINE_SECONDS)
         assert ledger.expire(QUARANTINE_SECONDS + 2.0) == [FINGERPRINT]
 
     def test_a_quarantined_request_gets_one_more_trial_and_only_one(self):
         """Guards against requests that stay refused because their searchers ended by chance."""
-        ledger = CrashLedger()
+        ledger = CrashRecords()
         ledger.add(CrashReport(FINGERPRINT, evidence(4, 2)), 1.0)
         assert not ledger.grant_retrial(FINGERPRINT, RETRIAL_SECONDS)
         assert ledger.grant_retrial(FINGERPRINT, RETRIAL_SECONDS + 2.0)
@@ -138,7 +138,7 @@
 
     def test_many_suspects_do_not_push_out_a_quarantine(self):
         """Guards against callers that make room for a crashing request by sending many others."""
-        ledger = CrashLedger()
+        ledger = CrashRecords()
         ledger.add(CrashReport(FINGERPRINT, evidence(4, 2)), 1.0)
         for number in range(1000):
             ledger.add(CrashReport(f"other-{number}", evidence(1, 0)), 2.0)
--- a/tests/unit/engine/test_evacuations.py
+++ b/tests/unit/engine/test_evacuations.py
@@ -230,7 +230,7 @@
     def test_they_count_as_cold(self):
         """Guards against all instances sending the usual load to searchers that are cold now."""
         fleet = fleet_of("a")
-        fleet.use_limits({"s": ServiceLimits(54, cold_seconds=3.0, cold_rate=2.0)})
+        fleet.apply_cold_start_limits({"s": ServiceLimits(54, cold_seconds=3.0, cold_rate=2.0)})
         fleet.share_among(4.0)
         fleet.evacuate("a")
         fleet.restore("a", 10.0)
--- a/tests/unit/engine/test_followers.py
+++ b/tests/unit/engine/test_followers.py
@@ -10,7 +10,7 @@
     RESTART_SECONDS,
     StoreFollower,
 )
-from limpethollow_policy.process.beliefs import Belief
+from limpethollow_policy.process.objectcaches import ObjectCache
 from limpethollow_policy.process.placements import Instance
 from limpethollow_policy.process.revisions import Revision
 from limpethollow_policy.process.topology import WatchRole, relays_among
@@ -51,7 +51,7 @@
     """Has listed some instances."""
 
     def __init__(self, *listed: Instance) -> None:
-        self.instances = Belief(lambda instance: None, lambda name: None)
+        self.instances = ObjectCache(lambda instance: None, lambda name: None)
         self.instances.replace({instance.name: instance for instance in listed}, Revision(1, 7))
 
 
--- a/tests/unit/engine/test_frames.py
+++ b/tests/unit/engine/test_frames.py
@@ -17,7 +17,7 @@
 )
 from limpethollow_node.engine.request.batches import MOST_LAG, BatchDesk
 from limpethollow_node.process.metrics import Metrics
-from limpethollow_policy.process.catchups import Known
+from limpethollow_policy.process.catchups import KnownState
 from limpethollow_policy.process.searchers import Searcher
 from limpethollow_policy.request.verdicts import Verdict
 from limpethollow_wire.codecs import to_cbor
@@ -86,7 +86,7 @@
     def test_neither_do_its_heartbeats(self):
         known = {"version": 1, "searchers": 2, "instances": 3, "evacuations": 0}
         frame = decode_frame(to_cbor(["beat", True, True, known, 5.0, 0.5]))
-        assert frame.known == Known(1, 2, 3, era=0)
+        assert frame.known == KnownState(1, 2, 3, era=0)
 
     def test_fields_that_a_later_release_adds_are_passed_over(self):
         frame = decode_frame(to_cbor(["instances", 5, 7, [], [], 2, "later"]))
@@ -102,7 +102,7 @@
         assert decode_frame(data) == news
 
     def test_small_frames_are_sent_as_they_are(self):
-        beat = Heartbeat(True, False, Known(1, 2, 3), 5.0, 0.5)
+        beat = Heartbeat(True, False, KnownState(1, 2, 3), 5.0, 0.5)
         assert encode_frame(beat)[:1] != b"\x78"
         assert decode_frame(encode_frame(beat)) == beat
 
--- a/tests/unit/engine/test_peers.py
+++ b/tests/unit/engine/test_peers.py
@@ -8,7 +8,7 @@
 from limpethollow_node.engine.process.quarantines import Quarantines
 from limpethollow_node.engine.process.roster import Roster
 from limpethollow_node.process.metrics import Metrics
-from limpethollow_policy.process.catchups import Known, Source
+from limpethollow_policy.process.catchups import KnownState, Source
 from limpethollow_policy.process.placements import Instance
 from limpethollow_policy.process.topology import (
     HEARTBEAT_SECONDS,
@@ -33,7 +33,7 @@
 
 
 class FakeCatalog:
-    known = Known()
+    known = KnownState()
 
 
 class FakeLink:
--- a/tests/unit/engine/test_placements.py
+++ b/tests/unit/engine/test_placements.py
@@ -1,6 +1,10 @@
 """Which instances callers are told of."""
 
-from limpethollow_policy.process.placements import MOST_ENTRIES, Instance, entries_for
+from limpethollow_policy.process.placements import (
+    MAX_CALLER_INSTANCES,
+    Instance,
+    instances_for_caller,
+)
 
 
 def instance(name: str, domain: str = "a", strength: float = 1.0) -> Instance:
@@ -11,7 +15,7 @@
     ALL = [instance("a1"), instance("a2"), instance("b1", "b"), instance("c1", "c")]
 
     def names(self, *arguments) -> list[str]:
-        return [chosen.name for chosen in entries_for(*arguments)]
+        return [chosen.name for chosen in instances_for_caller(*arguments)]
 
     def test_failure_domains_with_searchers_come_alone(self):
         assert self.names(self.ALL, "c", {"a": 2, "b": 2}, self.ALL) == ["a1", "a2", "b1"]
@@ -30,7 +34,7 @@
 
     def test_no_more_are_named_than_callers_take(self):
         many = [instance(f"i{number}") for number in range(400)]
-        assert len(entries_for(many, "a", {}, many)) == MOST_ENTRIES
+        assert len(instances_for_caller(many, "a", {}, many)) == MAX_CALLER_INSTANCES
 
     def test_of_many_the_strongest_of_each_failure_domain_take_the_callers(self):
         """Searches asked searchers that were known to be slow elsewhere.
@@ -38,11 +42,11 @@
         Callers were spread over 65 instances, and each met a searcher too seldom to learn from it.
         """
         many = [instance(f"i{n:02}", "abcde"[n % 5], 1.0 + n / 100) for n in range(65)]
-        named = entries_for(many, "a", {}, many)
+        named = instances_for_caller(many, "a", {}, many)
         assert sorted(i.name for i in named) == [f"i{n}" for n in range(45, 65)]
         without = [i for i in many if i.name != "i60"]
-        assert {i.name for i in entries_for(without, "a", {}, many)} >= {"i40", "i64"}
+        assert {i.name for i in instances_for_caller(without, "a", {}, many)} >= {"i40", "i64"}
 
     def test_few_all_take_callers(self):
         few = [instance(f"i{n}", strength=1.0 + n / 100) for n in range(16)]
-        assert len(entries_for(few, "a", {}, few)) == 16
+        assert len(instances_for_caller(few, "a", {}, few)) == 16
--- a/tests/unit/engine/test_shedding.py
+++ b/tests/unit/engine/test_shedding.py
@@ -249,13 +249,13 @@
             arrivals.add(100.0 + number / 10, admitted=True)
         for number in range(30):
             arrivals.add(101.0 + number / 100, admitted=True)
-        assert arrivals.highest_admitted(101.3) > 90
+        assert arrivals.peak_admitted_rate(101.3) > 90
 
     def test_single_arrivals_are_no_high_rate(self):
         arrivals = Arrivals()
         for second in range(10):
             arrivals.add(100.0 + second, admitted=True)
-        assert arrivals.highest_admitted(109.0) < 2.0
+        assert arrivals.peak_admitted_rate(109.0) < 2.0
         assert arrivals.rate(109.0) < 2.0
 
     def test_the_usual_rate_is_known_after_some_seconds_and_outlasts_a_burst(self):
--- a/tests/unit/engine/test_spreading.py
+++ b/tests/unit/engine/test_spreading.py
@@ -4,8 +4,13 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from limpethollow_policy.process.beliefs import Belief, Step
-from limpethollow_policy.process.catchups import ANSWER_SECONDS, Known, Source, source_for
+from limpethollow_policy.process.catchups import (
+    ANSWER_TIMEOUT_SECONDS,
+    KnownState,
+    Source,
+    choose_source,
+)
+from limpethollow_policy.process.objectcaches import ObjectCache, Step
 from limpethollow_policy.process.revisions import Revision
 from limpethollow_policy.version.routes import CallerLimits, CurrentVersion, RoutingVersion
 
@@ -13,8 +18,8 @@
 instances = st.integers(0, INSTANCES - 1)
 
 
-def belief() -> Belief[int]:
-    return Belief(lambda item: None, lambda name: None)
+def belief() -> ObjectCache[int]:
+    return ObjectCache(lambda item: None, lambda name: None)
 
 
 class SearchersList(RuleBasedStateMachine):
@@ -170,34 +175,34 @@
 class TestKnown:
     def test_a_newer_era_is_ahead_with_lower_revisions(self):
         """Guards against peers that are not asked for the first list after the store's return."""
-        before, after = Known(3, 20, 20, era=1), Known(3, 10, 10, era=2)
+        before, after = KnownState(3, 20, 20, era=1), KnownState(3, 10, 10, era=2)
         assert after.is_ahead_of(before)
         assert not before.is_ahead_of(after)
 
     def test_a_kind_that_is_not_known_in_the_newer_era_is_no_news(self):
-        half_read = Known.of(3, Revision(2, 10), Revision(1, 20), Revision())
-        assert half_read == Known(3, 10, 0, 0, era=2)
-        assert not half_read.is_ahead_of(Known(3, 10, 8, era=2))
+        half_read = KnownState.of(3, Revision(2, 10), Revision(1, 20), Revision())
+        assert half_read == KnownState(3, 10, 0, 0, era=2)
+        assert not half_read.is_ahead_of(KnownState(3, 10, 8, era=2))
 
     def test_a_release_without_eras_is_behind_one_that_has_them(self):
         """Guards against a rolling update that brings back the belief of before a return."""
-        assert not Known(3, 500, 500).is_ahead_of(Known(3, 10, 10, era=2))
-        assert Known(3, 500, 500).is_ahead_of(Known(3, 10, 10))
+        assert not KnownState(3, 500, 500).is_ahead_of(KnownState(3, 10, 10, era=2))
+        assert KnownState(3, 500, 500).is_ahead_of(KnownState(3, 10, 10))
 
 
 class TestWhomToAsk:
     """When 63 instances were restarted in turn, each got the whole list from some 20 peers."""
 
     def test_one_that_is_ahead_and_near(self):
-        own = Known(3, 10, 10)
-        far, near = Source(Known(4, 10, 10), far=True), Source(Known(3, 11, 10))
-        behind = Source(Known(2, 9, 9))
-        assert source_for(own, [behind, far, near], 100.0) is near
-        assert source_for(Known(4, 11, 10), [behind, far, near], 100.0) is None
+        own = KnownState(3, 10, 10)
+        far, near = Source(KnownState(4, 10, 10), far=True), Source(KnownState(3, 11, 10))
+        behind = Source(KnownState(2, 9, 9))
+        assert choose_source(own, [behind, far, near], 100.0) is near
+        assert choose_source(KnownState(4, 11, 10), [behind, far, near], 100.0) is None
 
     def test_another_one_where_the_first_gave_no_answer(self):
-        own = Known()
-        near, far = Source(Known(1, 5, 5)), Source(Known(1, 5, 5), far=True)
+        own = KnownState()
+        near, far = Source(KnownState(1, 5, 5)), Source(KnownState(1, 5, 5), far=True)
         near.asked_at = 100.0
-        assert source_for(own, [near, far], 100.0 + ANSWER_SECONDS) is far
-        assert source_for(own, [near, far], 103.0) is near
+        assert choose_source(own, [near, far], 100.0 + ANSWER_TIMEOUT_SECONDS) is far
+        assert choose_source(own, [near, far], 103.0) is near
--- a/tests/unit/platform/test_changepaces.py
+++ b/tests/unit/platform/test_changepaces.py
@@ -4,7 +4,11 @@
 
 from limpethollow_node.platform import process
 from limpethollow_node.platform.settings import Bounds, PlatformSettings
-from limpethollow_policy.process.changepaces import FIRST_SECONDS, LONGEST_SECONDS, ChangePace
+from limpethollow_policy.process.changepaces import (
+    INITIAL_PAUSE_SECONDS,
+    MAX_PAUSE_SECONDS,
+    ChangePace,
+)
 
 # Seconds of a first start in which nobody calls yet.
 UNTIL = 6.0
@@ -27,14 +31,14 @@
         pace, now = ChangePace(slow_until=1e9), 0.0
         for _ in range(50):
             pause = pace.changed(now)
-            assert FIRST_SECONDS <= pause <= LONGEST_SECONDS
+            assert INITIAL_PAUSE_SECONDS <= pause <= MAX_PAUSE_SECONDS
             now += pause
 
     def test_after_a_quiet_time_the_next_one_is_read_soon(self):
         pace, now = ChangePace(slow_until=1e9), 0.0
         for _ in range(10):
             now += pace.changed(now)
-        assert pace.changed(now + 2 * LONGEST_SECONDS + 0.1) == FIRST_SECONDS
+        assert pace.changed(now + 2 * MAX_PAUSE_SECONDS + 0.1) == INITIAL_PAUSE_SECONDS
 
 
 class TestLeavingSearchers:
@@ -49,7 +53,7 @@
         pace, now = ChangePace(slow_until=UNTIL), UNTIL
         for _ in range(40):
             pause = pace.changed(now)
-            assert pause == FIRST_SECONDS
+            assert pause == INITIAL_PAUSE_SECONDS
             now += pause
 
     def test_the_news_and_the_last_choice_fit_into_the_time_to_leave(self):
@@ -58,4 +62,6 @@
             last_choice = PlatformSettings.removal_delay.fget(settings)
             # The pause before the news, and a look each for the removal and for what the store and
             # the links take.
-            assert FIRST_SECONDS + 2 * process._TICK_SECONDS + last_choice <= drain_ms / 1000
+            assert (
+                INITIAL_PAUSE_SECONDS + 2 * process._TICK_SECONDS + last_choice <= drain_ms / 1000
+            )
--- a/tests/unit/platform/test_sinks.py
+++ b/tests/unit/platform/test_sinks.py
@@ -6,7 +6,7 @@
 from limpethollow_node.platform.codec import StoredObject
 from limpethollow_node.platform.sinks import BeliefSink
 from limpethollow_node.platform.store import Change
-from limpethollow_policy.process.beliefs import Belief
+from limpethollow_policy.process.objectcaches import ObjectCache
 from limpethollow_policy.process.placements import Instance
 from limpethollow_policy.process.revisions import Revision
 from limpethollow_wire.exceptions import BadRequest
@@ -28,7 +28,7 @@
 
     def __init__(self, era: int, number: int, *names: str) -> None:
         self.told: list[InstanceNews] = []
-        self.belief: Belief[Instance] = Belief(lambda item: None, lambda name: None)
+        self.belief: ObjectCache[Instance] = ObjectCache(lambda item: None, lambda name: None)
         self.sink = BeliefSink("instances", self.belief, decode, InstanceNews, self.told.append)
         self.belief.replace(
             {name: decode(change(name).object) for name in names}, Revision(era, number)
--- a/tests/unit/search/test_coordination.py
+++ b/tests/unit/search/test_coordination.py
@@ -79,10 +79,10 @@
 
     def test_silent_owner_is_asked_last_for_a_while(self):
         silent = SilentOwners()
-        silent.was_silent("a", 10.0)
+        silent.mark_silent("a", 10.0)
         assert silent.last(["a", "b"], 10.5) == ["b", "a"]
         assert silent.last(["a", "b"], 11.5) == ["a", "b"]
-        silent.was_silent("a", 20.0)
+        silent.mark_silent("a", 20.0)
         silent.answered("a")
         assert silent.last(["a", "b"], 20.5) == ["a", "b"]
 
