--- a/benchmarks/ablation/mechanisms.py
+++ b/benchmarks/ablation/mechanisms.py
@@ -121,7 +121,9 @@
 _mechanism(
     "admission",
     "every search is admitted",
-    Edit(_ENGINE + "process/intake.py", "        if wait > 0:\n", "        if wait < 0:\n"),
+    Edit(
+        _ENGINE + "process/admissioncontrol.py", "        if wait > 0:\n", "        if wait < 0:\n"
+    ),
 )
 _mechanism(
     "batches",
--- a/benchmarks/steps.py
+++ b/benchmarks/steps.py
@@ -19,7 +19,7 @@
     encode_frame,
 )
 from limpethollow_node.engine.messages import Reply
-from limpethollow_node.engine.process.intake import Intake
+from limpethollow_node.engine.process.admissioncontrol import AdmissionControl
 from limpethollow_node.engine.process.pools import Call
 from limpethollow_node.engine.request.batches import BatchDesk
 from limpethollow_node.engine.request.outgoing import Outgoing
@@ -91,7 +91,7 @@
         self._links = _Links()
         self._desk = BatchDesk(self._dispatch, self._links)
         self._route = route(shards=shards, top=TOP, floor=0.9, objective=1.0)
-        self._intake = Intake(self._dispatch)
+        self._admission_control = AdmissionControl(self._dispatch)
         self._direct: list[tuple[Replica, Call]] = []
         self._records = [os.urandom(RECORD_BYTES * RECORDS) for _ in range(SHARDS)]
         self._merged = merge_records(self._records, TOP)
@@ -105,7 +105,7 @@
         """Play one search; return milliseconds of processor time by step."""
         exchange = VirtualExchange(request(), self._dispatch.loop.time())
         outgoing = Outgoing.of(exchange, self._route, self._dispatch)
-        admission = self._intake.admit(self._route, in_time=True)
+        admission = self._admission_control.admit(self._route, in_time=True)
         search = Search(
             self._dispatch, exchange, outgoing, self._desk, admission, lambda outcome: None
         )
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/intake.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/admissioncontrol.py
@@ -119,7 +119,7 @@
             self._log_rate_cut()
 
 
-class Intake:
+class AdmissionControl:
     """Admits requests, and adapts the admission rates to how they end.
 
     There is one rate per set of shards for searches, and one per service for single requests.
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/catalog.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/catalog.py
@@ -131,7 +131,7 @@
         """Record that the list of searchers is as new as the store's now."""
         self._searchers_confirmed_at = self._engine.now()
 
-    def show_ages(self, metrics: Metrics) -> None:
+    def register_gauges(self, metrics: Metrics) -> None:
         """Register gauges of the size and age of the known state."""
         now = self._engine.now
         metrics.gauge("version", lambda: self.version_number)
@@ -173,15 +173,15 @@
         """Return the evacuations changed since a revision, or all, as `searchers_since` does."""
         return _updates_since(EvacuationNews, self.evacuations, revision)
 
-    def take_searchers(self, news: SearcherNews) -> bool:
+    def apply_searchers(self, news: SearcherNews) -> bool:
         """Apply changed searchers; return False if the complete list is needed."""
         return _apply(self.searchers, news, {searcher.id: searcher for searcher in news.put})
 
-    def take_instances(self, news: InstanceNews) -> bool:
+    def apply_instances(self, news: InstanceNews) -> bool:
         """Apply changed instances; return False if the complete list is needed."""
         return _apply(self.instances, news, {instance.name: instance for instance in news.put})
 
-    def take_evacuations(self, news: EvacuationNews) -> bool:
+    def apply_evacuations(self, news: EvacuationNews) -> bool:
         """Apply changed evacuations; return False if the complete list is needed."""
         put = {evacuation.failure_domain: evacuation for evacuation in news.put}
         return _apply(self.evacuations, news, put)
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/crashnews.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/crashreports.py
@@ -8,7 +8,7 @@
 from limpethollow_policy.process.crashes import CrashReport
 
 
-class CrashNewsExchange:
+class CrashReportExchange:
     """Sends new crash reports to linked instances, and forwards those received that were new.
 
     Not every pair of instances is linked. Forwarding only new reports delivers them to all
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/dispatch.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/dispatch.py
@@ -124,14 +124,14 @@
         self._services_in_use = version.service_names()
         self._apply_limits()
 
-    def share_among(self, sharers: float) -> None:
+    def share_among(self, share_divisor: float) -> None:
         """Divide repeated sends, connections and calls to cold searchers among instances.
 
         Args:
-            sharers: Number of instances to divide by for this one's share; an instance that
+            share_divisor: Number of instances to divide by for this one's share; an instance that
                 makes few calls counts as a fraction.
         """
-        self._sharers = max(1.0, sharers)
+        self._sharers = max(1.0, share_divisor)
         self.budget.share_among(self._sharers, self.loop.time())
         self.fleet.share_among(self._sharers)
         self._apply_limits()
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/engine.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/engine.py
@@ -2,8 +2,8 @@
 
 from limpethollow_node.engine.connection.callers import Exchange, error_reply
 from limpethollow_node.engine.messages import Request
+from limpethollow_node.engine.process.admissioncontrol import AdmissionControl
 from limpethollow_node.engine.process.dispatch import Dispatch
-from limpethollow_node.engine.process.intake import Intake
 from limpethollow_node.engine.request.batches import BatchDesk
 from limpethollow_node.engine.request.forwards import Forward
 from limpethollow_node.engine.request.outcomes import Outcome, OutcomeLog
@@ -36,11 +36,19 @@
         refuses: Whether new requests are rejected because they might not finish before shutdown.
     """
 
-    __slots__ = ("_dispatch", "_intake", "_running", "_turns", "desk", "refuses", "versions")
+    __slots__ = (
+        "_dispatch",
+        "_admission_control",
+        "_running",
+        "_turns",
+        "desk",
+        "refuses",
+        "versions",
+    )
 
     def __init__(self, dispatch: Dispatch, versions: CurrentVersion) -> None:
         self._dispatch = dispatch
-        self._intake = Intake(dispatch)
+        self._admission_control = AdmissionControl(dispatch)
         self._turns = WeightedRoundRobin()
         self.desk: BatchDesk | None = None
         self._running: set[Search | Forward] = set()
@@ -53,13 +61,13 @@
             return False
         self._turns.forget()
         self._dispatch.use_version(version)
-        self._intake.use_version(version)
+        self._admission_control.use_version(version)
         return True
 
     @property
     def admitted_rate(self) -> float:
         """Return the lowest admission rate of all sets of shards and services."""
-        return self._intake.lowest_rate
+        return self._admission_control.lowest_rate
 
     @property
     def is_busy(self) -> bool:
@@ -127,11 +135,11 @@
             log(outcome)
 
         if route.shards:
-            search = self._intake.admit_search(outgoing)
+            search = self._admission_control.admit_search(outgoing)
             running = Search(self._dispatch, exchange, outgoing, self.desk, search, on_ended)
         else:
             service = self._turns.next(route)
-            single = self._intake.admit_single(outgoing, service)
+            single = self._admission_control.admit_single(outgoing, service)
             running = Forward(self._dispatch, exchange, outgoing, service, single, on_ended)
         self._running.add(running)
         running.start()
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/silence.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/failuredetector.py
@@ -17,7 +17,7 @@
 ALONE_SECONDS = 4.0
 
 
-class SilenceJudge:
+class FailureDetector:
     """Marks silent instances in the roster, and as a relay reports missing ones to its peers.
 
     Args:
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/followers.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/followers.py
@@ -13,7 +13,7 @@
 # An instance that was silent this long is considered dead and removed; one that only restarts is
 # back within seconds. Without removal it would count forever in the division of connections and
 # repeated sends.
-GONE_SECONDS = 30.0
+DEAD_INSTANCE_SECONDS = 30.0
 # On the first start of the whole system, an instance waits this long before it lists the others,
 # so that all have written their entries; they start within 0.3 s. A list of only the first few
 # would make each of them a relay.
@@ -172,11 +172,11 @@
         if self._peers.follows:
             self._catalog.confirm_searchers()
             # An instance that hears no peer may itself be isolated.
-            if self._peers.heard_count(now) > 0:
+            if self._peers.count_heard_peers(now) > 0:
                 self._remove_dead(now)
 
     def _remove_dead(self, now: float) -> None:
-        for name in self._roster.silent_for(GONE_SECONDS, now):
+        for name in self._roster.silent_for(DEAD_INSTANCE_SECONDS, now):
             if name not in self._remove_tasks:
                 task = asyncio.create_task(self._entry.remove(name))
                 self._remove_tasks[name] = task
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/asks.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/httpclients.py
@@ -6,7 +6,7 @@
 from limpethollow_node.engine.process.pools import Call, Pool
 
 
-class Asker:
+class HttpClient:
     """Sends requests to one address over persistent connections.
 
     Usage:
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/lifecycle.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/lifecycle.py
@@ -91,13 +91,13 @@
             and len(self._dispatch.fleet) > 0
         )
 
-    def ask_to_leave(self) -> None:
+    def request_shutdown(self) -> None:
         """Request the graceful shutdown; further calls have no effect."""
         if not self._shutdown_requested.is_set():
             self._shutdown_requested_at = self._stalls.earliest_arrival(_uptime())
             self._shutdown_requested.set()
 
-    async def wait_for_leave(self) -> None:
+    async def wait_for_shutdown_request(self) -> None:
         """Wait until the shutdown is requested."""
         await self._shutdown_requested.wait()
 
@@ -163,7 +163,7 @@
         isolation = self._dispatch.isolation
         was_isolated = self._front.leaving and not self._shutdown_requested.is_set()
         others = len(self._roster) - 1
-        if isolation.look(others, self._peers.heard_count(now), now):
+        if isolation.look(others, self._peers.count_heard_peers(now), now):
             events.ISOLATED.log(others=others)
             self._engine.end_retryable()
         elif was_isolated and not isolation.is_isolated:
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/peers.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/peers.py
@@ -19,13 +19,13 @@
     encode_frame,
 )
 from limpethollow_node.engine.process.catalog import Catalog
-from limpethollow_node.engine.process.crashnews import CrashNewsExchange
+from limpethollow_node.engine.process.crashreports import CrashReportExchange
 from limpethollow_node.engine.process.dialling import Dialler
+from limpethollow_node.engine.process.failuredetector import FailureDetector
 from limpethollow_node.engine.process.heartbeats import Heartbeats
-from limpethollow_node.engine.process.news import NewsExchange
 from limpethollow_node.engine.process.quarantines import Quarantines
 from limpethollow_node.engine.process.roster import Roster
-from limpethollow_node.engine.process.silence import SilenceJudge
+from limpethollow_node.engine.process.stateexchange import StateExchange
 from limpethollow_node.process import events
 from limpethollow_node.process.metrics import Metrics
 from limpethollow_policy.process.catchups import KnownState
@@ -78,9 +78,9 @@
         self._seeds = frozenset(seeds)
         self._links: dict[str, PeerLink] = {}
         self._dialler = Dialler(rng, lambda socket: self._run(socket, dialled=True))
-        self._failure_detector = SilenceJudge(roster, self._links)
-        self._state_exchange = NewsExchange(catalog, self._links)
-        self._crash_reports = CrashNewsExchange(quarantines, self._links)
+        self._failure_detector = FailureDetector(roster, self._links)
+        self._state_exchange = StateExchange(catalog, self._links)
+        self._crash_reports = CrashReportExchange(quarantines, self._links)
         self._member_hosts: set[str] = set(seeds)
         self._suspected_until: dict[str, float] = {}
         self._rotation = 0
@@ -105,12 +105,12 @@
         """Maintain the links and send heartbeats until cancelled."""
         while True:
             try:
-                self._beat(asyncio.get_running_loop().time())
+                self._run_cycle(asyncio.get_running_loop().time())
             except Exception as error:
                 events.DEFECT.log(where="peers", error=repr(error), exc_info=True)
             await asyncio.sleep(HEARTBEAT_SECONDS)
 
-    def link_up(self) -> None:
+    def open_missing_links(self) -> None:
         """Open missing links; also called as soon as instances are listed."""
         own = self._roster.own
         known = {instance.name: instance for instance in self._roster.known}
@@ -175,7 +175,7 @@
         first = self._rotation % len(found)
         return [*found[first:], *found[:first]][:count]
 
-    def heard_count(self, now: float) -> int:
+    def count_heard_peers(self, now: float) -> int:
         """Return the number of instances from which a frame arrived recently.
 
         An isolated instance counts zero after `_ALL_SILENT_SECONDS`, even if some of its peers send
@@ -188,9 +188,9 @@
         if link.name is not None:
             self._suspected_until[link.name] = until
 
-    def _beat(self, now: float) -> None:
+    def _run_cycle(self, now: float) -> None:
         self._close_silent(now)
-        self.link_up()
+        self.open_missing_links()
         self._heartbeats.send_due(now)
         heard = self._failure_detector.heard(now)
         news = self._failure_detector.news(heard)
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/pools.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/pools.py
@@ -85,7 +85,7 @@
         self._connection: ClientConnection | None = None
         self._reply_connection: ClientConnection | None = None
 
-    def queued(self, pool: "Pool") -> None:
+    def set_pool(self, pool: "Pool") -> None:
         """Record the pool in which the call waits for a connection."""
         self._pool = pool
 
@@ -114,7 +114,7 @@
         if connection is not None:
             connection.close()
 
-    def distrust(self) -> None:
+    def close_reply_connection(self) -> None:
         """Close the connection of the reply, which belonged to another request.
 
         The reply to this call may still arrive there, in place of the reply to the next one.
@@ -199,7 +199,7 @@
         if connection is not None:
             call.write_to(connection)
             return
-        call.queued(self)
+        call.set_pool(self)
         self._waiting.append(call)
         if len(self._open) + len(self._opening) >= self.limit and self._idle:
             # The limit is reached, and no idle connection is suitable for this call.
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/quarantines.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/quarantines.py
@@ -95,7 +95,7 @@
         """
         return [report for report in reports if self._add(report, source)]
 
-    def learn(self, report: CrashReport, source: str) -> None:
+    def merge_report(self, report: CrashReport, source: str) -> None:
         """Merge evidence from another source, and send it to the other instances if it was new."""
         fresh = self.take([report], source)
         if fresh:
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/roster.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/roster.py
@@ -60,7 +60,7 @@
         return list(self._known.values())
 
     @property
-    def sharers(self) -> float:
+    def share_divisor(self) -> float:
         """Return the number by which to divide connections and repeated sends for this instance.
 
         Instances that accept no callers make few calls, so the others get larger shares. All
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/news.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/stateexchange.py
@@ -21,7 +21,7 @@
 )
 
 
-class NewsExchange:
+class StateExchange:
     """Applies updates from peers, requests missing ones from a peer, and answers such requests.
 
     Args:
@@ -37,9 +37,9 @@
         self._catch_up_timer: asyncio.TimerHandle | None = None
         self._handlers: dict[type, Callable] = {
             VersionNews: self._apply_version,
-            SearcherNews: self._handler_for(lambda news: catalog.take_searchers(news)),
-            InstanceNews: self._handler_for(lambda news: catalog.take_instances(news)),
-            EvacuationNews: self._handler_for(lambda news: catalog.take_evacuations(news)),
+            SearcherNews: self._handler_for(lambda news: catalog.apply_searchers(news)),
+            InstanceNews: self._handler_for(lambda news: catalog.apply_instances(news)),
+            EvacuationNews: self._handler_for(lambda news: catalog.apply_evacuations(news)),
             Ask: self._on_request,
         }
 
--- a/packages/limpethollow-node/src/limpethollow_node/engine/request/batchworks.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/request/batchworks.py
@@ -99,7 +99,7 @@
         verdict = judge(reply, names, self.request_id)
         call = self._calls.pop(shard)
         if verdict is Verdict.UNKNOWN:
-            call.call.distrust()
+            call.call.close_reply_connection()
         load = read_load(reply, names)
         if load is not None:
             call.replica.reported(load, self._dispatch.loop.time())
--- a/packages/limpethollow-node/src/limpethollow_node/engine/request/forwards.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/request/forwards.py
@@ -2,8 +2,8 @@
 
 from limpethollow_node.engine.connection.callers import Exchange, error_reply
 from limpethollow_node.engine.messages import Reply, end_to_end
+from limpethollow_node.engine.process.admissioncontrol import SingleAdmission
 from limpethollow_node.engine.process.dispatch import Dispatch
-from limpethollow_node.engine.process.intake import SingleAdmission
 from limpethollow_node.engine.request.outcomes import Outcome, OutcomeLog
 from limpethollow_node.engine.request.outgoing import Outgoing
 from limpethollow_node.engine.request.searches import RETRY_ELSEWHERE, STOPPING
--- a/packages/limpethollow-node/src/limpethollow_node/engine/request/searches.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/request/searches.py
@@ -4,8 +4,8 @@
 
 from limpethollow_node.engine.connection.callers import Exchange, error_reply
 from limpethollow_node.engine.messages import Reply
+from limpethollow_node.engine.process.admissioncontrol import SearchAdmission
 from limpethollow_node.engine.process.dispatch import Dispatch
-from limpethollow_node.engine.process.intake import SearchAdmission
 from limpethollow_node.engine.request.batches import BatchDesk
 from limpethollow_node.engine.request.carriers import ShardCarrier
 from limpethollow_node.engine.request.outcomes import Outcome, OutcomeLog
--- a/packages/limpethollow-node/src/limpethollow_node/engine/request/sends.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/request/sends.py
@@ -179,7 +179,7 @@
         names = self._owner.dispatch.names
         verdict = judge(reply, names, self._owner.outgoing.request_id)
         if verdict is Verdict.UNKNOWN:
-            self.call.distrust()
+            self.call.close_reply_connection()
         load = read_load(reply, names)
         if load is not None:
             self.replica.reported(load, self._now())
--- a/packages/limpethollow-node/src/limpethollow_node/platform/process.py
+++ b/packages/limpethollow-node/src/limpethollow_node/platform/process.py
@@ -164,7 +164,7 @@
         self._follower.choose(asyncio.get_running_loop().time())
         tasks = [asyncio.create_task(_told(job)) for job in self._jobs()]
         try:
-            await self._life.wait_for_leave()
+            await self._life.wait_for_shutdown_request()
             await self._life.leave(self._servers, self._settings.bounds.grace_s)
         finally:
             for task in tasks:
@@ -195,12 +195,12 @@
         self._lifetime.longest = bounds.ttl_max_s
         events.SETTINGS_RELOADED.log(bounds=str(bounds))
 
-    def ask_to_leave(self) -> None:
+    def request_shutdown(self) -> None:
         """Begin the graceful shutdown."""
-        self._life.ask_to_leave()
+        self._life.request_shutdown()
 
     def _show_state(self) -> None:
-        self._catalog.show_ages(self.metrics)
+        self._catalog.register_gauges(self.metrics)
         loop = asyncio.get_running_loop()
         self.metrics.gauge("own_delay_seconds", lambda: self._dispatch.own_delay.allowance)
         self.metrics.gauge("admitted_rate", lambda: self._engine.admitted_rate)
@@ -208,7 +208,7 @@
         self.metrics.gauge("ready", lambda: self._life.is_ready)
         self.metrics.gauge("follows_store", lambda: self._peers.follows)
         self.metrics.gauge("quarantined_requests", lambda: self._dispatch.quarantines.count)
-        self.metrics.gauge("instances_heard", lambda: self._peers.heard_count(loop.time()))
+        self.metrics.gauge("instances_heard", lambda: self._peers.count_heard_peers(loop.time()))
 
     def _new_feeds(self) -> list[Feed]:
         """Return a feed for each kind, that of instances last."""
@@ -232,7 +232,7 @@
     def _listed(self, kind: str) -> None:
         self._follower.choose(asyncio.get_running_loop().time())
         if kind == KIND:
-            self._peers.link_up()
+            self._peers.open_missing_links()
         if all(feed.listed for feed in self._feeds):
             self._peers.announce()
 
@@ -286,7 +286,7 @@
         if self._settings_file.changed():
             self.reload_settings()
         self._life.tick(now)
-        self._slack_claim.heard(len(self._roster) - 1, self._peers.heard_count(now), now)
+        self._slack_claim.heard(len(self._roster) - 1, self._peers.count_heard_peers(now), now)
         self._follower.tick(now)
         for server in self._servers:
             server.sweep(now)
@@ -307,7 +307,7 @@
 
     def _instances_changed(self) -> None:
         self._slack_claim.listed(self._roster.is_listed, asyncio.get_running_loop().time())
-        self._dispatch.share_among(self._roster.sharers)
+        self._dispatch.share_among(self._roster.share_divisor)
 
     def _addresses_for(self, domain: str) -> list[str]:
         searchers = self._dispatch.fleet.domains(self._services)
--- a/packages/limpethollow-node/src/limpethollow_node/platform/quarantines.py
+++ b/packages/limpethollow-node/src/limpethollow_node/platform/quarantines.py
@@ -174,7 +174,7 @@
 
     def _take(self, stored: StoredQuarantine) -> None:
         report = stored.report
-        self._quarantines.learn(report, KIND)
+        self._quarantines.merge_report(report, KIND)
         if stored.released:
             self._quarantines.release(report.fingerprint, "operator")
         if self._quarantines.is_released(report):
--- a/packages/limpethollow-node/src/limpethollow_node/platform/runner.py
+++ b/packages/limpethollow-node/src/limpethollow_node/platform/runner.py
@@ -28,7 +28,7 @@
 async def _run(settings: PlatformSettings, doors: Doors, logs: StdoutHandler) -> None:
     process = PlatformProcess(settings, doors, logs)
     loop = asyncio.get_running_loop()
-    loop.add_signal_handler(signal.SIGTERM, process.ask_to_leave)
-    loop.add_signal_handler(signal.SIGINT, process.ask_to_leave)
+    loop.add_signal_handler(signal.SIGTERM, process.request_shutdown)
+    loop.add_signal_handler(signal.SIGINT, process.request_shutdown)
     loop.add_signal_handler(signal.SIGHUP, process.reload_settings)
     await process.run()
--- a/packages/limpethollow-node/src/limpethollow_node/platform/store.py
+++ b/packages/limpethollow-node/src/limpethollow_node/platform/store.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from limpethollow_node.engine.messages import Reply
-from limpethollow_node.engine.process.asks import Asker
+from limpethollow_node.engine.process.httpclients import HttpClient
 from limpethollow_node.platform.codec import StoredObject
 from limpethollow_node.process import events
 from limpethollow_node.process.metrics import Metrics
@@ -98,7 +98,7 @@
     def __init__(
         self, address: str, metrics: Metrics, on_restored: Callable[[], None] = lambda: None
     ) -> None:
-        self._asker = Asker(address, _CONNECTIONS)
+        self._asker = HttpClient(address, _CONNECTIONS)
         self._metrics = metrics
         self._on_restored = on_restored
         self.era = UNKNOWN_ERA
--- a/packages/limpethollow-node/src/limpethollow_node/process/lifecycles.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/lifecycles.py
@@ -127,7 +127,7 @@
         with self._lock:
             self._shutdown.started(time.monotonic())
 
-    def ask_to_leave(self) -> None:
+    def request_shutdown(self) -> None:
         """Begin the graceful shutdown; a second call ends its waiting. Safe in signal handlers."""
         self._signals.put()
 
--- a/packages/limpethollow-node/src/limpethollow_node/process/main.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/main.py
@@ -48,8 +48,8 @@
         node = Node(settings)
         # Before the listeners are bound: a request may arrive as soon as they are, and a signal
         # without its handler would cut it off.
-        signal.signal(signal.SIGTERM, lambda *_: node.lifecycle.ask_to_leave())
-        signal.signal(signal.SIGINT, lambda *_: node.lifecycle.ask_to_leave())
+        signal.signal(signal.SIGTERM, lambda *_: node.lifecycle.request_shutdown())
+        signal.signal(signal.SIGINT, lambda *_: node.lifecycle.request_shutdown())
         with node:
             print(json.dumps({"ready": node.addresses}), flush=True)
             node.run()
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/fleets.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/fleets.py
@@ -63,13 +63,13 @@
             self._cold_limits(name).seconds = limits.cold_seconds
         self._update_cold_intervals()
 
-    def share_among(self, sharers: float) -> None:
+    def share_among(self, share_divisor: float) -> None:
         """Set the number of instances that share the call rate of cold searchers.
 
         Args:
-            sharers: Number by which the rate is divided to get the part of this instance.
+            share_divisor: Number by which the rate is divided to get the part of this instance.
         """
-        self._sharers = sharers
+        self._sharers = share_divisor
         self._update_cold_intervals()
 
     def unreachable(self, replica: Replica, now: float) -> bool:
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/sendbudgets.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/sendbudgets.py
@@ -128,14 +128,14 @@
             if self._claim is not None:
                 self._claim.set_window(window, now)
 
-    def share_among(self, sharers: float, now: float) -> None:
+    def share_among(self, share_divisor: float, now: float) -> None:
         """Set how many parts of this instance's size the slack is divided into from now on."""
         expires = now + self._window
         earlier = [
             (min(until, expires), count) for until, count in self._sharer_counts if until > now
         ]
-        self._sharer_counts = [(until, count) for until, count in earlier if count > sharers]
-        self._sharer_counts.append((float("inf"), sharers))
+        self._sharer_counts = [(until, count) for until, count in earlier if count > share_divisor]
+        self._sharer_counts.append((float("inf"), share_divisor))
 
     def room(self, service: str, now: float) -> float:
         """Return the number of repeats to a service that the budget allows now."""
--- a/tests/support/searches.py
+++ b/tests/support/searches.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from limpethollow_node.engine.messages import Reply, Request
-from limpethollow_node.engine.process.intake import Intake
+from limpethollow_node.engine.process.admissioncontrol import AdmissionControl
 from limpethollow_node.engine.process.pools import Call
 from limpethollow_node.engine.request.outcomes import Outcome
 from limpethollow_node.engine.request.outgoing import Outgoing
@@ -71,7 +71,7 @@
         outgoing = Outgoing.of(self.exchange, found, self.dispatch)
         self.hedge_delay = outgoing.timings.hedge_delay
         self.guard = outgoing.guard
-        admission = Intake(self.dispatch).admit_search(outgoing)
+        admission = AdmissionControl(self.dispatch).admit_search(outgoing)
         self.search = Search(
             self.dispatch, self.exchange, outgoing, NoDesk(), admission, self._ended
         )
--- a/tests/system/platform/test_returns.py
+++ b/tests/system/platform/test_returns.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from limpethollow_node.engine.process.silence import ALONE_SECONDS
+from limpethollow_node.engine.process.failuredetector import ALONE_SECONDS
 from tests.standins.backends import BackendStandIn
 from tests.support.crashes import send_crashing, start_search
 from tests.support.platforms import (
--- a/tests/unit/engine/test_budget_restarts.py
+++ b/tests/unit/engine/test_budget_restarts.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, rule
 
-from limpethollow_node.engine.process.followers import GONE_SECONDS
+from limpethollow_node.engine.process.followers import DEAD_INSTANCE_SECONDS
 from limpethollow_policy.process import slackclaims
 from limpethollow_policy.process.sendbudgets import SendBudget
 from limpethollow_policy.process.slackclaims import SlackClaim
@@ -134,7 +134,9 @@
         silent = self._listed - reached
         self._silent_since = {n: self._silent_since.get(n, self.now) for n in silent}
         if len(reached) > 1:
-            gone = {n for n, at in self._silent_since.items() if self.now - at >= GONE_SECONDS}
+            gone = {
+                n for n, at in self._silent_since.items() if self.now - at >= DEAD_INSTANCE_SECONDS
+            }
             self._list(self._listed - gone)
 
 
@@ -221,7 +223,7 @@
     def _cut(self) -> None:
         fleet = Fleet(3, seed=1)
         fleet.cut.add(0)
-        fleet.pass_time(GONE_SECONDS + WINDOW + LATEST_NEWS + 1.0)
+        fleet.pass_time(DEAD_INSTANCE_SECONDS + WINDOW + LATEST_NEWS + 1.0)
         for name in fleet.names:
             fleet.spend(name)
 
--- a/tests/unit/engine/test_catalog.py
+++ b/tests/unit/engine/test_catalog.py
@@ -54,8 +54,8 @@
         monkeypatch.setattr(catalog.events, "SEARCHER_LISTED", one)
         monkeypatch.setattr(catalog.events, "SEARCHERS_LISTED", many)
         made = Catalog(FleetDispatch(), None, FakeRoster(), 0.0, lambda version: None)
-        made.take_searchers(SearcherNews(None, 7, searchers(count), []))
-        made.take_searchers(SearcherNews(7, 8, [], [f"i-{n}" for n in range(count)]))
+        made.apply_searchers(SearcherNews(None, 7, searchers(count), []))
+        made.apply_searchers(SearcherNews(7, 8, [], [f"i-{n}" for n in range(count)]))
         made.tick(200.0)
         return one.lines, many.lines
 
@@ -102,38 +102,38 @@
         made, dispatch = self.made()
         ready, other = searchers(2)
         drained = replace(ready, draining=True)
-        made.take_searchers(listed(1, 20, ready, other))
-        made.take_searchers(SearcherNews(20, 21, [drained], [], 1))
-        made.take_searchers(listed(2, 20, ready, other))
+        made.apply_searchers(listed(1, 20, ready, other))
+        made.apply_searchers(SearcherNews(20, 21, [drained], [], 1))
+        made.apply_searchers(listed(2, 20, ready, other))
         assert not self.takes_calls(dispatch, "i-0")
         assert self.takes_calls(dispatch, "i-1")
-        made.take_searchers(SearcherNews(20, 21, [drained], [], 2))
+        made.apply_searchers(SearcherNews(20, 21, [drained], [], 2))
         made.tick(dispatch.loop.time() + REWRITE_GRACE_SECONDS)
         assert not self.takes_calls(dispatch, "i-0")
 
     def test_one_that_does_not_say_so_again_is_used_after_a_while(self):
         made, dispatch = self.made()
         (ready,) = searchers(1)
-        made.take_searchers(listed(1, 20, replace(ready, draining=True)))
-        made.take_searchers(listed(2, 18, ready))
+        made.apply_searchers(listed(1, 20, replace(ready, draining=True)))
+        made.apply_searchers(listed(2, 18, ready))
         made.tick(dispatch.loop.time() + REWRITE_GRACE_SECONDS)
         assert self.takes_calls(dispatch, "i-0")
 
     def test_one_that_started_anew_is_used_at_once(self):
         made, dispatch = self.made()
         (ready,) = searchers(1)
-        made.take_searchers(listed(1, 20, replace(ready, draining=True)))
-        made.take_searchers(listed(2, 18, replace(ready, incarnation=7)))
+        made.apply_searchers(listed(1, 20, replace(ready, draining=True)))
+        made.apply_searchers(listed(2, 18, replace(ready, incarnation=7)))
         assert self.takes_calls(dispatch, "i-0")
 
     def test_one_whose_entry_had_gone_is_a_last_choice(self):
         made, dispatch = self.made()
         found = searchers(2)
-        made.take_searchers(listed(1, 20, *found))
-        made.take_searchers(SearcherNews(20, 21, [], ["i-0"], 1))
+        made.apply_searchers(listed(1, 20, *found))
+        made.apply_searchers(SearcherNews(20, 21, [], ["i-0"], 1))
         made.tick(dispatch.loop.time() + 10.0)
         assert dispatch.fleet.get("i-0") is None
-        made.take_searchers(listed(2, 20, *found))
+        made.apply_searchers(listed(2, 20, *found))
         assert dispatch.fleet.get("i-0").unlisted
         assert not dispatch.fleet.get("i-1").unlisted
         made.tick(dispatch.loop.time() + REWRITE_GRACE_SECONDS)
@@ -142,8 +142,8 @@
     def test_one_that_the_copy_lacks_stays_a_last_choice(self):
         """Guards against a shard that is lost because its searchers' entries are."""
         made, dispatch = self.made()
-        made.take_searchers(listed(1, 20, *searchers(1)))
-        made.take_searchers(listed(2, 18))
+        made.apply_searchers(listed(1, 20, *searchers(1)))
+        made.apply_searchers(listed(2, 18))
         assert self.takes_calls(dispatch, "i-0")
         made.tick(dispatch.loop.time() + REWRITE_GRACE_SECONDS)
         assert dispatch.fleet.get("i-0") is None
@@ -156,10 +156,10 @@
         dispatch = FleetDispatch()
         made = Catalog(dispatch, None, roster, 2.2, lambda version: None)
         one, two = (Instance(name, "1:1", "1:2", "a") for name in ("one", "two"))
-        made.take_instances(InstanceNews(None, 20, [one, two], [], 1))
-        made.take_instances(InstanceNews(None, 18, [], [], 2))
+        made.apply_instances(InstanceNews(None, 20, [one, two], [], 1))
+        made.apply_instances(InstanceNews(None, 18, [], [], 2))
         assert roster.names == {"one", "two"}
-        made.take_instances(InstanceNews(18, 19, [one], [], 2))
+        made.apply_instances(InstanceNews(18, 19, [one], [], 2))
         made.tick(dispatch.loop.time() + REWRITE_GRACE_SECONDS)
         assert roster.names == {"one"}
 
--- a/tests/unit/engine/test_coldstarts.py
+++ b/tests/unit/engine/test_coldstarts.py
@@ -16,13 +16,13 @@
 USUAL = 0.02
 
 
-def fleet_of(sharers: float, rate: float = RATE, seed: int = 1, **fields) -> Fleet:
+def fleet_of(share_divisor: float, rate: float = RATE, seed: int = 1, **fields) -> Fleet:
     """Return the fleet of one of several instances, with one searcher of one service."""
     fleet = Fleet("a", Random(seed))
     fleet.apply_cold_start_limits(
         {"s": ServiceLimits(54, cold_seconds=COLD_SECONDS, cold_rate=rate)}
     )
-    fleet.share_among(sharers)
+    fleet.share_among(share_divisor)
     fleet.put(Searcher("i-1", "s", "10.0.0.1:80", "a", 2, **fields), 100.0)
     return fleet
 
--- a/tests/unit/engine/test_crashes.py
+++ b/tests/unit/engine/test_crashes.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from limpethollow_node.engine.frames import CrashNews, decode_frame, encode_frame
-from limpethollow_node.engine.process.crashnews import CrashNewsExchange
+from limpethollow_node.engine.process.crashreports import CrashReportExchange
 from limpethollow_node.engine.process.quarantines import Quarantines
 from limpethollow_node.process.metrics import Metrics
 from limpethollow_policy.process.crashes import (
@@ -202,7 +202,7 @@
         here, there = (Quarantines(Metrics(), lambda: 0.0) for _ in range(2))
         told = CrashReport(FINGERPRINT, evidence(3, 1))
         link = FakeLink("there")
-        CrashNewsExchange(here, {"there": link})
+        CrashReportExchange(here, {"there": link})
         for each in (here, there):
             each.take([told], "third")
         guard = here.guard(FINGERPRINT)
@@ -307,7 +307,7 @@
         """Guards against instances without a link to the one that found a crashing request."""
         quarantines = Quarantines(Metrics(), lambda: 0.0)
         links = {name: FakeLink(name) for name in ("a", "b", "c")}
-        exchange = CrashNewsExchange(quarantines, links)
+        exchange = CrashReportExchange(quarantines, links)
         news = CrashNews([CrashReport(FINGERPRINT, evidence(4, 2))])
         exchange.take(links["a"], news)
         exchange.take(links["b"], news)
@@ -318,7 +318,7 @@
         quarantines = Quarantines(Metrics(), lambda: 0.0)
         quarantine(quarantines, FINGERPRINT)
         link = FakeLink("late")
-        CrashNewsExchange(quarantines, {}).greet(link)
+        CrashReportExchange(quarantines, {}).greet(link)
         assert link.sent[0].reports[0].evidence.standing is Standing.QUARANTINED
 
     def test_a_release_reaches_the_other_instances(self):
@@ -326,7 +326,7 @@
         for each in (here, there):
             quarantine(each, FINGERPRINT)
         link = FakeLink("there")
-        CrashNewsExchange(here, {"there": link})
+        CrashReportExchange(here, {"there": link})
         here.release(FINGERPRINT, "operator")
         there.take(link.sent[0].reports, "here")
         assert there.guard(FINGERPRINT).standing is Standing.TRUSTED
--- a/tests/unit/engine/test_evacuations.py
+++ b/tests/unit/engine/test_evacuations.py
@@ -188,41 +188,43 @@
         return catalog_of(dispatch)
 
     def test_evacuations_come_and_go_with_news(self, dispatch, catalog):
-        catalog.take_evacuations(EvacuationNews(None, 7, [Evacuation("a")], []))
+        catalog.apply_evacuations(EvacuationNews(None, 7, [Evacuation("a")], []))
         assert dispatch.fleet.evacuated == {"a"}
-        catalog.take_evacuations(EvacuationNews(7, 9, [Evacuation("b")], ["a"]))
+        catalog.apply_evacuations(EvacuationNews(7, 9, [Evacuation("b")], ["a"]))
         assert dispatch.fleet.evacuated == {"b"}
 
     def test_older_news_change_nothing(self, dispatch, catalog):
         """Guards against a restored domain that an old word from a peer evacuates again."""
-        catalog.take_evacuations(EvacuationNews(None, 7, [Evacuation("a")], []))
-        catalog.take_evacuations(EvacuationNews(None, 9, [], []))
-        catalog.take_evacuations(EvacuationNews(None, 8, [Evacuation("a")], []))
+        catalog.apply_evacuations(EvacuationNews(None, 7, [Evacuation("a")], []))
+        catalog.apply_evacuations(EvacuationNews(None, 9, [], []))
+        catalog.apply_evacuations(EvacuationNews(None, 8, [Evacuation("a")], []))
         assert dispatch.fleet.evacuated == set()
 
     def test_one_that_the_stores_older_copy_lacks_holds_until_it_could_be_written_again(
         self, dispatch, catalog
     ):
         """Guards against requests to an evacuated domain after the store has lost the order."""
-        catalog.take_evacuations(EvacuationNews(None, 7, [Evacuation("a"), Evacuation("b")], [], 1))
-        catalog.take_evacuations(EvacuationNews(None, 5, [], [], 2))
+        catalog.apply_evacuations(
+            EvacuationNews(None, 7, [Evacuation("a"), Evacuation("b")], [], 1)
+        )
+        catalog.apply_evacuations(EvacuationNews(None, 5, [], [], 2))
         assert dispatch.fleet.evacuated == {"a", "b"}
-        catalog.take_evacuations(EvacuationNews(5, 6, [Evacuation("a")], [], 2))
+        catalog.apply_evacuations(EvacuationNews(5, 6, [Evacuation("a")], [], 2))
         catalog.tick(dispatch.loop.time() + REWRITE_GRACE_SECONDS)
         assert dispatch.fleet.evacuated == {"a"}
 
     def test_that_there_are_none_is_news_too(self, catalog):
         """Guards against each starting instance listing the store for what its peers know."""
         nobody = catalog_of(EvacuatingDispatch())
-        catalog.take_evacuations(EvacuationNews(None, 7, [], []))
+        catalog.apply_evacuations(EvacuationNews(None, 7, [], []))
         assert catalog.known.is_ahead_of(nobody.known_up_to)
-        nobody.take_evacuations(catalog.evacuations_since(NOTHING_KNOWN))
+        nobody.apply_evacuations(catalog.evacuations_since(NOTHING_KNOWN))
         assert not catalog.known.is_ahead_of(nobody.known_up_to)
 
     def test_searchers_that_are_heard_of_later_are_not_used_there(self, dispatch, catalog):
-        catalog.take_evacuations(EvacuationNews(None, 7, [Evacuation("a")], []))
+        catalog.apply_evacuations(EvacuationNews(None, 7, [Evacuation("a")], []))
         one = Searcher("i-a", "s", "10.0.0.1:80", "a", 2)
-        catalog.take_searchers(SearcherNews(None, 8, [one], []))
+        catalog.apply_searchers(SearcherNews(None, 8, [one], []))
         assert dispatch.fleet.choose("s", 100.0, USUAL) is None
 
 
--- a/tests/unit/engine/test_peers.py
+++ b/tests/unit/engine/test_peers.py
@@ -89,7 +89,7 @@
             for turn in range(times):
                 moment = now + turn * HEARTBEAT_SECONDS
                 asyncio.get_running_loop().time = lambda at=moment: at
-                self.peers._beat(moment)
+                self.peers._run_cycle(moment)
 
         asyncio.run(run())
 
--- a/tests/unit/engine/test_roster.py
+++ b/tests/unit/engine/test_roster.py
@@ -71,7 +71,7 @@
             roster = Roster(own, lambda: None)
             for other in everyone:
                 roster.put(other)
-            parts.append(1 / roster.sharers)
+            parts.append(1 / roster.share_divisor)
         assert abs(sum(parts) - 1.0) < 1e-9
         assert max(parts) > 1 / 30
 
@@ -79,7 +79,7 @@
         roster = Roster(instance("own"), lambda: None)
         for number in range(5):
             roster.put(instance(f"i-{number}"))
-        assert roster.sharers == 6
+        assert roster.share_divisor == 6
 
 
 class TestListedAgain:
--- a/tests/unit/engine/test_silence.py
+++ b/tests/unit/engine/test_silence.py
@@ -1,8 +1,8 @@
 """Which instances callers are told of where one hears few others, or none."""
 
 from limpethollow_node.engine.frames import Silent
+from limpethollow_node.engine.process.failuredetector import ALONE_SECONDS, FailureDetector
 from limpethollow_node.engine.process.roster import Roster
-from limpethollow_node.engine.process.silence import ALONE_SECONDS, SilenceJudge
 from limpethollow_policy.process.placements import Instance
 
 OWN, OTHER = (Instance(name, f"10.0.0.{n}:1", f"10.0.0.{n}:2", "a") for n, name in enumerate("ab"))
@@ -14,7 +14,7 @@
         roster = Roster(OWN, lambda: None)
         roster.ready = ready
         roster.put(OTHER)
-        judge = SilenceJudge(roster, {})
+        judge = FailureDetector(roster, {})
         named = []
         for now in (100.0, 100.0 + ALONE_SECONDS + 0.5):
             judge.judge(frozenset(), [], now)
@@ -39,7 +39,7 @@
         roster.put(OTHER)
         roster.set_silent(OTHER.name, True, 90.0)
         roster.remove(OTHER.name)
-        judge = SilenceJudge(roster, {"relay": None})
+        judge = FailureDetector(roster, {"relay": None})
         roster.put(OTHER)
         for number, silent in enumerate(relays):
             judge.take(f"relay-{number}", silent)
