--- a/benchmarks/ablation/mechanisms.py
+++ b/benchmarks/ablation/mechanisms.py
@@ -86,7 +86,7 @@
     "hedge-reserve",
     "second sends may use up the budget for repeats of failed ones",
     Edit(
-        _ENGINE + "request/tries.py",
+        _ENGINE + "request/attempts.py",
         "_HEDGE_RESERVE_FRACTION = 0.25",
         "_HEDGE_RESERVE_FRACTION = 0.0",
     ),
@@ -128,7 +128,7 @@
 _mechanism(
     "batches",
     "each call to another failure domain is made directly",
-    Edit(_ENGINE + "request/batches.py", "LEAST_CALLS = 2", "LEAST_CALLS = 1_000_000"),
+    Edit(_ENGINE + "request/batches.py", "MIN_BATCH_CALLS = 2", "MIN_BATCH_CALLS = 1_000_000"),
 )
 _mechanism(
     "relays",
--- a/benchmarks/steps.py
+++ b/benchmarks/steps.py
@@ -21,7 +21,7 @@
 from limpethollow_node.engine.messages import Reply
 from limpethollow_node.engine.process.admissioncontrol import AdmissionControl
 from limpethollow_node.engine.process.pools import Call
-from limpethollow_node.engine.request.batches import BatchDesk
+from limpethollow_node.engine.request.batches import BatchManager
 from limpethollow_node.engine.request.outgoing import Outgoing
 from limpethollow_node.engine.request.searches import Search
 from limpethollow_node.platform.headers import HEADERS
@@ -89,7 +89,7 @@
                 self._dispatch.add(shard, f"{shard}-{turn}", domain)
         self._dispatch.on_send = self._sent
         self._links = _Links()
-        self._desk = BatchDesk(self._dispatch, self._links)
+        self._desk = BatchManager(self._dispatch, self._links)
         self._route = route(shards=shards, top=TOP, floor=0.9, objective=1.0)
         self._admission_control = AdmissionControl(self._dispatch)
         self._direct: list[tuple[Replica, Call]] = []
--- a/packages/limpethollow-node/src/limpethollow_node/engine/connection/callers.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/connection/callers.py
@@ -9,8 +9,8 @@
 import msgspec
 
 from limpethollow_node.engine.connection.listeners import BACKLOG
-from limpethollow_node.engine.connection.sockets import round_trip, set_probes
-from limpethollow_node.engine.messages import REASONS, Headers, Reply, Request
+from limpethollow_node.engine.connection.sockets import enable_keepalive, round_trip
+from limpethollow_node.engine.messages import REASON_PHRASES, Headers, Reply, Request
 from limpethollow_policy.version.routes import CallerLimits
 from limpethollow_wire.exceptions import (
     BadRequest,
@@ -31,13 +31,13 @@
 class Exchange:
     """One request of a caller, until it is answered or the caller disconnects."""
 
-    __slots__ = ("_connection", "arrived_at", "on_gone", "request")
+    __slots__ = ("_connection", "arrived_at", "on_disconnect", "request")
 
     def __init__(self, connection: "CallerConnection", request: Request, arrived_at: float) -> None:
         self._connection = connection
         self.request = request
         self.arrived_at = arrived_at
-        self.on_gone: Callable[[], None] | None = None
+        self.on_disconnect: Callable[[], None] | None = None
 
     @property
     def round_trip(self) -> float | None:
@@ -56,7 +56,7 @@
 
     def respond(self, reply: Reply) -> None:
         """Send the reply."""
-        self.on_gone = None
+        self.on_disconnect = None
         self._connection.finish(self, reply)
 
 
@@ -83,7 +83,7 @@
         "_target",
         "_transport",
         "idle_since",
-        "message_since",
+        "message_started_at",
         "peer_host",
         "requests",
         "round_trip",
@@ -105,7 +105,7 @@
         self._body: list[bytes] = []
         self._body_bytes = 0
         self.idle_since = self._loop.time()
-        self.message_since: float | None = None
+        self.message_started_at: float | None = None
         self.requests = 0
         self.round_trip: float | None = None
         self.peer_host: str | None = None
@@ -113,7 +113,11 @@
     @property
     def busy(self) -> bool:
         """Return whether a request is being read or answered."""
-        return self._current is not None or self.message_since is not None or bool(self._pipelined)
+        return (
+            self._current is not None
+            or self.message_started_at is not None
+            or bool(self._pipelined)
+        )
 
     @property
     def has_unsent(self) -> bool:
@@ -136,12 +140,15 @@
         if not self.busy:
             self._transport.close()
 
-    def check_time(self, now: float) -> None:
+    def enforce_time_limits(self, now: float) -> None:
         """Enforce the time limits; called about once per second."""
         limits = self._server.limits
         if self._transport.get_write_buffer_size() > _MAX_UNSENT_BYTES:
             self._transport.abort()
-        elif self.message_since is not None and now > self.message_since + limits.header_timeout:
+        elif (
+            self.message_started_at is not None
+            and now > self.message_started_at + limits.header_timeout
+        ):
             self._reject(SlowSender("The request was not received within the time limit."))
         elif not self.busy and now > self.idle_since + limits.idle_timeout:
             self._transport.close()
@@ -152,7 +159,7 @@
         """Store the transport and read the caller's address and round-trip time."""
         self._transport = transport
         sock = transport.get_extra_info("socket")
-        set_probes(sock)
+        enable_keepalive(sock)
         self.round_trip = round_trip(sock)
         self.peer_host = (transport.get_extra_info("peername") or (None,))[0]
         self._server.connections.add(self)
@@ -182,8 +189,8 @@
         self._server.connections.discard(self)
         exchange, self._current = self._current, None
         self._pipelined.clear()
-        if exchange is not None and exchange.on_gone is not None:
-            exchange.on_gone()
+        if exchange is not None and exchange.on_disconnect is not None:
+            exchange.on_disconnect()
 
     # Called by the parser.
 
@@ -195,7 +202,7 @@
         self._headers = []
         self._body = []
         self._body_bytes = 0
-        self.message_since = self._loop.time()
+        self.message_started_at = self._loop.time()
 
     def on_url(self, url: bytes) -> None:
         """Append a piece of the request target."""
@@ -229,7 +236,7 @@
 
     def on_message_complete(self) -> None:
         """Handle a complete request, or queue it behind earlier ones."""
-        self.message_since = None
+        self.message_started_at = None
         if self._failed:
             return
         request = Request(
@@ -262,7 +269,7 @@
         if self._failed:
             return
         self._failed = True
-        self.message_since = None
+        self.message_started_at = None
         self._pending_error = error
         self._server.refused(error)
         if self._current is None and not self._pipelined:
@@ -275,7 +282,7 @@
     def _write(self, reply: Reply, *, close: bool, head: bool = False) -> None:
         if self._transport.is_closing():
             return
-        reason = REASONS.get(reply.status, b"")
+        reason = REASON_PHRASES.get(reply.status, b"")
         lines = [b"HTTP/1.1 %d %b\r\n" % (reply.status, reason)]
         lines += [b"%b: %b\r\n" % header for header in reply.headers]
         if reply.status not in (204, 304):
@@ -315,7 +322,7 @@
         return any(connection.has_unsent for connection in self.connections)
 
     @property
-    def is_quiet(self) -> bool:
+    def all_idle(self) -> bool:
         """Return whether no connection is reading, answering or sending anything."""
         return not self.has_unsent and not any(c.busy for c in self.connections)
 
@@ -329,7 +336,7 @@
     def sweep(self, now: float) -> None:
         """Enforce the time limits on all connections."""
         for connection in tuple(self.connections):
-            connection.check_time(now)
+            connection.enforce_time_limits(now)
 
     def stop_listening(self) -> None:
         """Stop accepting connections; open ones stay open."""
--- a/packages/limpethollow-node/src/limpethollow_node/engine/connection/clients.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/connection/clients.py
@@ -7,7 +7,7 @@
 import httptools
 
 from limpethollow_node.engine.connection.carried import CarriedRequests
-from limpethollow_node.engine.connection.sockets import set_probes
+from limpethollow_node.engine.connection.sockets import enable_keepalive
 from limpethollow_node.engine.messages import Headers, Reply
 
 # Larger replies are rejected, so that one server can't exhaust the instance's memory.
@@ -125,7 +125,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Store the transport and enable TCP keep-alive probes."""
         self._transport = transport
-        set_probes(transport.get_extra_info("socket"))
+        enable_keepalive(transport.get_extra_info("socket"))
 
     def data_received(self, data: bytes) -> None:
         """Parse received bytes."""
--- a/packages/limpethollow-node/src/limpethollow_node/engine/connection/peerlinks.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/connection/peerlinks.py
@@ -7,7 +7,7 @@
 from websockets.asyncio.connection import Connection
 from websockets.exceptions import ConnectionClosed
 
-from limpethollow_node.engine.connection.sockets import set_probes
+from limpethollow_node.engine.connection.sockets import enable_keepalive
 from limpethollow_node.engine.frames import AnyFrame, Frame, decode_frame, encode_frame
 from limpethollow_node.process.metrics import Metrics
 from limpethollow_policy.process.catchups import Source
@@ -40,7 +40,7 @@
 
     Attributes:
         interval: Seconds between two heartbeats from the other instance.
-        beat_due: Monotonic time in seconds at which this instance sends its next heartbeat.
+        heartbeat_due: Monotonic time in seconds at which this instance sends its next heartbeat.
         name: Name of the other instance; None until its first frame arrives.
         source: State versions that the other instance has, and whether it is in another failure
             domain.
@@ -52,7 +52,7 @@
         "_on_frame",
         "_send_queue",
         "_socket",
-        "beat_due",
+        "heartbeat_due",
         "dialled",
         "heard_at",
         "incarnation",
@@ -83,8 +83,8 @@
         self.ready = False
         self.heard_at = now
         self.interval = HEARTBEAT_SECONDS
-        self.beat_due = now
-        set_probes(socket.transport.get_extra_info("socket"))
+        self.heartbeat_due = now
+        enable_keepalive(socket.transport.get_extra_info("socket"))
 
     @property
     def host(self) -> str:
--- a/packages/limpethollow-node/src/limpethollow_node/engine/connection/sockets.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/connection/sockets.py
@@ -15,7 +15,7 @@
 _TCP_INFO_BYTES = 104
 
 
-def set_probes(sock: socket.socket | None) -> None:
+def enable_keepalive(sock: socket.socket | None) -> None:
     """Enable TCP keep-alive and a user timeout, so that dead peers are detected within seconds."""
     if sock is None:
         return
--- a/packages/limpethollow-node/src/limpethollow_node/engine/frames.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/frames.py
@@ -64,7 +64,7 @@
     interval: float
 
 
-class Silent(Frame, frozen=True, tag="silent"):
+class UnheardInstances(Frame, frozen=True, tag="silent"):
     """Instances from which a relay receives no heartbeats or that aren't ready; sent on changes.
 
     Relays are linked to all instances, so this list is short; a list of the instances that do
@@ -81,13 +81,13 @@
     """Announces that the sender accepts no new callers."""
 
 
-class VersionNews(Frame, frozen=True, tag="version"):
+class VersionUpdate(Frame, frozen=True, tag="version"):
     """A complete configuration version."""
 
     version: RoutingVersion
 
 
-class SearcherNews(Frame, frozen=True, tag="searchers"):
+class SearcherUpdate(Frame, frozen=True, tag="searchers"):
     """Searchers that changed between two revisions.
 
     Attributes:
@@ -105,8 +105,8 @@
     era: int = 0
 
 
-class InstanceNews(Frame, frozen=True, tag="instances"):
-    """Instances that changed; see `SearcherNews`."""
+class InstanceUpdate(Frame, frozen=True, tag="instances"):
+    """Instances that changed; see `SearcherUpdate`."""
 
     base: int | None
     revision: int
@@ -115,8 +115,8 @@
     era: int = 0
 
 
-class EvacuationNews(Frame, frozen=True, tag="evacuations"):
-    """Failure domains that were evacuated or restored; see `SearcherNews`."""
+class EvacuationUpdate(Frame, frozen=True, tag="evacuations"):
+    """Failure domains that were evacuated or restored; see `SearcherUpdate`."""
 
     base: int | None
     revision: int
@@ -125,7 +125,7 @@
     era: int = 0
 
 
-class CrashNews(Frame, frozen=True, tag="crashes"):
+class CrashUpdate(Frame, frozen=True, tag="crashes"):
     """Evidence of requests that crash searchers; sent to all, and forwarded where it is new."""
 
     reports: list[CrashReport]
@@ -164,7 +164,7 @@
         calls: The calls to make.
         top: Maximum number of records to return.
         left: Seconds until the sender stops waiting.
-        merge_for: Seconds for which results are collected into one frame; later ones are sent
+        merge_window: Seconds for which results are collected into one frame; later ones are sent
             separately.
         sent_at: See `Heartbeat`.
     """
@@ -176,7 +176,7 @@
     calls: list[BatchCall]
     top: int
     left: float
-    merge_for: float
+    merge_window: float
     sent_at: float
 
 
@@ -230,7 +230,7 @@
     reason: str
 
 
-class BatchEnd(Frame, frozen=True, tag="end"):
+class BatchCancel(Frame, frozen=True, tag="end"):
     """Cancels the remaining calls of a batch.
 
     Attributes:
@@ -243,18 +243,18 @@
 AnyFrame = (
     Hello
     | Heartbeat
-    | Silent
+    | UnheardInstances
     | Leaving
-    | VersionNews
-    | SearcherNews
-    | InstanceNews
-    | EvacuationNews
-    | CrashNews
+    | VersionUpdate
+    | SearcherUpdate
+    | InstanceUpdate
+    | EvacuationUpdate
+    | CrashUpdate
     | Ask
     | Batch
     | BatchParts
     | BatchFailure
-    | BatchEnd
+    | BatchCancel
 )
 
 
--- a/packages/limpethollow-node/src/limpethollow_node/engine/messages.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/messages.py
@@ -28,7 +28,7 @@
     }
 )
 
-REASONS = {
+REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
     404: b"Not Found",
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/admissioncontrol.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/admissioncontrol.py
@@ -45,7 +45,7 @@
     def _report_delay(self) -> None:
         """Report that the request was delayed until now, and no longer is."""
         seconds = self._dispatch.loop.time() - self._started
-        self._report_congestion(congestion(seconds, self._outgoing.answer_by - self._started))
+        self._report_congestion(congestion(seconds, self._outgoing.reply_by - self._started))
 
     def _report_congestion(self, congestion: float) -> None:
         """Report how congested the request was; only the first report counts."""
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/catalog.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/catalog.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import TypeVar
 
-from limpethollow_node.engine.frames import EvacuationNews, InstanceNews, SearcherNews
+from limpethollow_node.engine.frames import EvacuationUpdate, InstanceUpdate, SearcherUpdate
 from limpethollow_node.engine.process.dispatch import Dispatch
 from limpethollow_node.engine.process.engine import Engine
 from limpethollow_node.engine.process.roster import Roster
@@ -21,7 +21,7 @@
 from limpethollow_policy.version.routes import RoutingVersion
 
 T = TypeVar("T")
-N = TypeVar("N", SearcherNews, InstanceNews, EvacuationNews)
+N = TypeVar("N", SearcherUpdate, InstanceUpdate, EvacuationUpdate)
 OnVersion = Callable[[RoutingVersion], None]
 
 
@@ -161,27 +161,27 @@
             self.evacuations.revision,
         )
 
-    def searchers_since(self, revision: Revision) -> SearcherNews:
+    def searchers_since(self, revision: Revision) -> SearcherUpdate:
         """Return the searchers changed since a revision, or all if that revision is unknown."""
-        return _updates_since(SearcherNews, self.searchers, revision)
+        return _updates_since(SearcherUpdate, self.searchers, revision)
 
-    def instances_since(self, revision: Revision) -> InstanceNews:
+    def instances_since(self, revision: Revision) -> InstanceUpdate:
         """Return the instances changed since a revision, or all if that revision is unknown."""
-        return _updates_since(InstanceNews, self.instances, revision)
+        return _updates_since(InstanceUpdate, self.instances, revision)
 
-    def evacuations_since(self, revision: Revision) -> EvacuationNews:
+    def evacuations_since(self, revision: Revision) -> EvacuationUpdate:
         """Return the evacuations changed since a revision, or all, as `searchers_since` does."""
-        return _updates_since(EvacuationNews, self.evacuations, revision)
+        return _updates_since(EvacuationUpdate, self.evacuations, revision)
 
-    def apply_searchers(self, news: SearcherNews) -> bool:
+    def apply_searchers(self, news: SearcherUpdate) -> bool:
         """Apply changed searchers; return False if the complete list is needed."""
         return _apply(self.searchers, news, {searcher.id: searcher for searcher in news.put})
 
-    def apply_instances(self, news: InstanceNews) -> bool:
+    def apply_instances(self, news: InstanceUpdate) -> bool:
         """Apply changed instances; return False if the complete list is needed."""
         return _apply(self.instances, news, {instance.name: instance for instance in news.put})
 
-    def apply_evacuations(self, news: EvacuationNews) -> bool:
+    def apply_evacuations(self, news: EvacuationUpdate) -> bool:
         """Apply changed evacuations; return False if the complete list is needed."""
         put = {evacuation.failure_domain: evacuation for evacuation in news.put}
         return _apply(self.evacuations, news, put)
@@ -302,7 +302,9 @@
 
 
 def _apply(
-    belief: ObjectCache[T], news: SearcherNews | InstanceNews | EvacuationNews, put: dict[str, T]
+    belief: ObjectCache[T],
+    news: SearcherUpdate | InstanceUpdate | EvacuationUpdate,
+    put: dict[str, T],
 ) -> bool:
     revision = Revision(news.era, news.revision)
     if news.base is None:
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/crashreports.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/crashreports.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping, Sequence
 
 from limpethollow_node.engine.connection.peerlinks import PeerLink
-from limpethollow_node.engine.frames import CrashNews, encode_frame
+from limpethollow_node.engine.frames import CrashUpdate, encode_frame
 from limpethollow_node.engine.process.quarantines import Quarantines
 from limpethollow_policy.process.crashes import CrashReport
 
@@ -28,7 +28,7 @@
 
     def tell(self, reports: Sequence[CrashReport], source: PeerLink | None = None) -> None:
         """Send reports to all linked instances except the one that they came from."""
-        frame = CrashNews(list(reports))
+        frame = CrashUpdate(list(reports))
         data = encode_frame(frame)
         for link in self._links.values():
             if link is not source:
@@ -38,9 +38,9 @@
         """Send all reports to an instance that was just linked."""
         reports = self._quarantines.reports()
         if reports:
-            link.send(CrashNews(reports))
+            link.send(CrashUpdate(reports))
 
-    def take(self, link: PeerLink, news: CrashNews) -> None:
+    def take(self, link: PeerLink, news: CrashUpdate) -> None:
         """Apply reports from an instance, and forward those that were new."""
         fresh = self._quarantines.take(news.reports, link.name or link.host)
         if fresh:
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/engine.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/engine.py
@@ -4,7 +4,7 @@
 from limpethollow_node.engine.messages import Request
 from limpethollow_node.engine.process.admissioncontrol import AdmissionControl
 from limpethollow_node.engine.process.dispatch import Dispatch
-from limpethollow_node.engine.request.batches import BatchDesk
+from limpethollow_node.engine.request.batches import BatchManager
 from limpethollow_node.engine.request.forwards import Forward
 from limpethollow_node.engine.request.outcomes import Outcome, OutcomeLog
 from limpethollow_node.engine.request.outgoing import Outgoing
@@ -50,7 +50,7 @@
         self._dispatch = dispatch
         self._admission_control = AdmissionControl(dispatch)
         self._turns = WeightedRoundRobin()
-        self.desk: BatchDesk | None = None
+        self.desk: BatchManager | None = None
         self._running: set[Search | Forward] = set()
         self.refuses = False
         self.versions = versions
@@ -152,7 +152,7 @@
     def end_all(self) -> None:
         """Answer all requests in progress; this instance is stopping."""
         for running in list(self._running):
-            running.end_now()
+            running.finish_for_shutdown()
 
     def _logger(self, exchange: Exchange, route: Route | None) -> OutcomeLog:
         request_id = exchange.request.header(self._dispatch.names.request_id)
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/failuredetector.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/failuredetector.py
@@ -3,7 +3,7 @@
 from collections.abc import Collection, Mapping
 
 from limpethollow_node.engine.connection.peerlinks import PeerLink
-from limpethollow_node.engine.frames import Silent
+from limpethollow_node.engine.frames import UnheardInstances
 from limpethollow_node.engine.process.roster import Roster
 from limpethollow_policy.process.topology import relays_among
 
@@ -45,15 +45,15 @@
         self._alone_since: float | None = None
 
     @property
-    def told(self) -> Silent | None:
+    def told(self) -> UnheardInstances | None:
         """Return the report for a newly linked instance; None if this one is not a relay."""
-        return None if self._last_report is None else Silent(sorted(self._last_report))
+        return None if self._last_report is None else UnheardInstances(sorted(self._last_report))
 
     def linked(self, name: str, now: float) -> None:
         """Record that a link to an instance is open."""
         self._known_since[name] = now
 
-    def take(self, relay: str, silent: Silent) -> None:
+    def take(self, relay: str, silent: UnheardInstances) -> None:
         """Record which instances a relay misses."""
         if silent.names is None:
             self._missed_by.pop(relay, None)
@@ -70,13 +70,13 @@
             name for name, link in self._links.items() if link.ready and not link.is_silent(now)
         )
 
-    def news(self, heard: frozenset[str]) -> Silent | None:
+    def news(self, heard: frozenset[str]) -> UnheardInstances | None:
         """Return the report for the linked instances; None if it has not changed since the last."""
         missed = self._missed(heard)
         if missed == self._last_report:
             return None
         self._last_report = missed
-        return Silent(None if missed is None else sorted(missed))
+        return UnheardInstances(None if missed is None else sorted(missed))
 
     def judge(self, heard: frozenset[str], refused_addresses: Collection[str], now: float) -> None:
         """Mark the silent instances in the roster.
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/heartbeats.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/heartbeats.py
@@ -42,7 +42,9 @@
         self._leading = frozenset(i.name for i in leading_instances(self._roster.live))
         state = (self._roster.ready, self.follows)
         changed, self._sent_state = state != self._sent_state, state
-        self.send_to([link for link in self._links.values() if changed or now >= link.beat_due])
+        self.send_to(
+            [link for link in self._links.values() if changed or now >= link.heartbeat_due]
+        )
 
     def send_to(self, links: Collection[PeerLink]) -> None:
         """Send a heartbeat on the given links now."""
@@ -54,7 +56,7 @@
             heartbeat, data = by_interval[self._interval(link)]
             link.send_encoded(data, heartbeat)
             # Half an interval early, so that the next periodic check finds it due.
-            link.beat_due = heartbeat.sent_at + heartbeat.interval - HEARTBEAT_SECONDS / 2
+            link.heartbeat_due = heartbeat.sent_at + heartbeat.interval - HEARTBEAT_SECONDS / 2
 
     def _interval(self, link: PeerLink) -> float:
         """Return the seconds between two heartbeats on a link."""
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/lifecycle.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/lifecycle.py
@@ -142,7 +142,7 @@
         reject_from = begun + grace * _REJECT_FRACTION
         while (now := _uptime()) < begun + grace * _DRAIN_FRACTION:
             self._engine.refuses = now > reject_from
-            if now > exit_when_idle_from and self._front.is_quiet:
+            if now > exit_when_idle_from and self._front.all_idle:
                 break
             await asyncio.sleep(_POLL_SECONDS)
         self._engine.refuses = True
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/peers.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/peers.py
@@ -10,12 +10,12 @@
 from limpethollow_node.engine.connection.peerlinks import LINK_OPTIONS, PeerLink
 from limpethollow_node.engine.frames import (
     AnyFrame,
-    CrashNews,
+    CrashUpdate,
     Frame,
     Heartbeat,
     Hello,
     Leaving,
-    Silent,
+    UnheardInstances,
     encode_frame,
 )
 from limpethollow_node.engine.process.catalog import Catalog
@@ -316,12 +316,12 @@
         """
         return known.era > 0 or self._catalog.known.era == 0
 
-    @_handles(CrashNews)
-    def _on_crash_reports(self, link: PeerLink, news: CrashNews) -> None:
+    @_handles(CrashUpdate)
+    def _on_crash_reports(self, link: PeerLink, news: CrashUpdate) -> None:
         self._crash_reports.take(link, news)
 
-    @_handles(Silent)
-    def _on_silent(self, link: PeerLink, silent: Silent) -> None:
+    @_handles(UnheardInstances)
+    def _on_silent(self, link: PeerLink, silent: UnheardInstances) -> None:
         if link.name is not None:
             self._failure_detector.take(link.name, silent)
 
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/stateexchange.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/stateexchange.py
@@ -7,10 +7,10 @@
 from limpethollow_node.engine.frames import (
     AnyFrame,
     Ask,
-    EvacuationNews,
-    InstanceNews,
-    SearcherNews,
-    VersionNews,
+    EvacuationUpdate,
+    InstanceUpdate,
+    SearcherUpdate,
+    VersionUpdate,
 )
 from limpethollow_node.engine.process.catalog import Catalog
 from limpethollow_policy.process.catchups import (
@@ -36,10 +36,10 @@
         self._links = links
         self._catch_up_timer: asyncio.TimerHandle | None = None
         self._handlers: dict[type, Callable] = {
-            VersionNews: self._apply_version,
-            SearcherNews: self._handler_for(lambda news: catalog.apply_searchers(news)),
-            InstanceNews: self._handler_for(lambda news: catalog.apply_instances(news)),
-            EvacuationNews: self._handler_for(lambda news: catalog.apply_evacuations(news)),
+            VersionUpdate: self._apply_version,
+            SearcherUpdate: self._handler_for(lambda news: catalog.apply_searchers(news)),
+            InstanceUpdate: self._handler_for(lambda news: catalog.apply_instances(news)),
+            EvacuationUpdate: self._handler_for(lambda news: catalog.apply_evacuations(news)),
             Ask: self._on_request,
         }
 
@@ -80,7 +80,7 @@
         links[id(source)].send(Ask(known))
         self._schedule_catch_up(ANSWER_TIMEOUT_SECONDS)
 
-    def _apply_version(self, link: PeerLink, news: VersionNews) -> None:
+    def _apply_version(self, link: PeerLink, news: VersionUpdate) -> None:
         self._catalog.offer_version(news.version, link.name or link.host)
 
     def _handler_for(
@@ -107,7 +107,7 @@
         if catalog.evacuations.changed_at > evacuations:
             link.send(catalog.evacuations_since(evacuations))
         if catalog.version is not None and catalog.version_number > known.version:
-            link.send(VersionNews(catalog.version))
+            link.send(VersionUpdate(catalog.version))
         if catalog.searchers.changed_at > searchers:
             link.send(catalog.searchers_since(searchers))
         if catalog.instances.changed_at > instances:
--- a/packages/limpethollow-node/src/limpethollow_node/engine/request/tries.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/request/attempts.py
@@ -33,7 +33,7 @@
         """Return whether the send is taken over; otherwise it is made directly."""
 
 
-class Tries:
+class Attempts:
     """Sends a request to a searcher of a service, with retries and hedges where these are safe.
 
     Args:
@@ -73,7 +73,7 @@
         dispatch: Dispatch,
         outgoing: Outgoing,
         service: str,
-        on_done: Callable[["Tries"], None],
+        on_done: Callable[["Attempts"], None],
         carrier: Carrier | None = None,
     ) -> None:
         self._carrier = carrier
@@ -98,11 +98,11 @@
     @property
     def may_have_run(self) -> bool:
         """Return whether a searcher may have run the request, or may still run it."""
-        waiting = sum(not send.has_left for send in self._in_flight)
+        waiting = sum(not send.is_sent for send in self._in_flight)
         return self._possible_runs > waiting
 
     @property
-    def found_full(self) -> bool:
+    def is_refused_at_capacity(self) -> bool:
         """Return whether the request failed because the searchers reported to be at capacity."""
         return self.verdict is Verdict.NOT_RUN and self._refused_as_full
 
@@ -139,7 +139,7 @@
         if other is None:
             return False
         first = self._in_flight[0]
-        if not first.has_left:
+        if not first.is_sent:
             # The send still waits for a connection. The searcher received nothing, so sending it to
             # another one is not a retry.
             self._withdraw(first)
@@ -152,7 +152,7 @@
         self._launch(other)
         return True
 
-    def is_under_way(self, send: Send) -> bool:
+    def is_in_flight(self, send: Send) -> bool:
         """Return whether an outcome of a send still counts."""
         return send in self._in_flight
 
@@ -219,7 +219,7 @@
         if obstacle is None:
             self._launch(other)
             self.dispatch.metrics.count("retries", verdict.value)
-            self.log_again(verdict.value)
+            self.log_additional_send(verdict.value)
         elif obstacle == _ON_TRIAL_ELSEWHERE:
             self._wait()
         elif obstacle == _MAY_HAVE_RUN or not self._in_flight:
@@ -279,7 +279,7 @@
             return "budget"
         return None
 
-    def log_again(self, why: str) -> None:
+    def log_additional_send(self, why: str) -> None:
         """Log that another searcher is called, and why."""
         now = self.dispatch.loop.time()
         first = self._in_flight[0].started
--- a/packages/limpethollow-node/src/limpethollow_node/engine/request/batches.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/request/batches.py
@@ -13,23 +13,23 @@
 from limpethollow_node.engine.frames import (
     AnyFrame,
     Batch,
-    BatchEnd,
+    BatchCancel,
     BatchFailure,
     BatchParts,
 )
 from limpethollow_node.engine.process.dispatch import Dispatch
-from limpethollow_node.engine.request.batchworks import WorkedBatch
+from limpethollow_node.engine.request.batchexecutions import BatchExecution
 from limpethollow_policy.request.verdicts import Verdict
 
 # Fewer calls than this to a failure domain are made directly, since a pair of frames costs about as
 # much as one call.
-LEAST_CALLS = 2
+MIN_BATCH_CALLS = 2
 # An instance that returned nothing for a batch until the hedge delay gets no batches for this long.
 # If it is frozen or unreachable, its missing heartbeats are detected within that time.
 SUSPECT_SECONDS = 1.5
 # A batch that was delayed on its link by more than this is rejected: searchers must receive no more
 # calls half a second after the caller has disconnected.
-MOST_LAG = 0.3
+MAX_BATCH_DELAY = 0.3
 
 OnParts = Callable[[BatchParts], None]
 OnFailure = Callable[[str, Verdict, int, str], None]
@@ -93,7 +93,7 @@
         self._pending.discard(shard)
         if not self._pending:
             self._forget(self._frame.number)
-            self.link.send(BatchEnd(self._frame.number))
+            self.link.send(BatchCancel(self._frame.number))
 
     def parts(self, frame: BatchParts) -> None:
         """Handle merged parts."""
@@ -120,7 +120,7 @@
             self._forget(self._frame.number)
 
 
-class BatchDesk:
+class BatchManager:
     """Sends batches to peers, and executes those that peers send.
 
     Args:
@@ -135,11 +135,11 @@
         self._links = links
         self._batch_numbers = itertools.count(1)
         self._sent: dict[int, SentBatch] = {}
-        self._executing: dict[tuple[int, int], WorkedBatch] = {}
+        self._executing: dict[tuple[int, int], BatchExecution] = {}
         links.on_batch_frame = self._on_frame
         links.on_link_lost = self._on_link_lost
 
-    def links_near(self, failure_domain: str, count: int) -> list[PeerLink]:
+    def links_in_domain(self, failure_domain: str, count: int) -> list[PeerLink]:
         """Return links to up to `count` instances in a failure domain, possibly none."""
         return self._links.near(failure_domain, count, self._dispatch.loop.time())
 
@@ -176,7 +176,7 @@
     def _on_frame(self, link: PeerLink, frame: AnyFrame) -> None:
         if isinstance(frame, Batch):
             self._execute(link, frame)
-        elif isinstance(frame, BatchEnd):
+        elif isinstance(frame, BatchCancel):
             worked = self._executing.pop((id(link), frame.number), None)
             if worked is not None:
                 worked.end()
@@ -184,7 +184,7 @@
             self._on_result(frame)
 
     def _execute(self, link: PeerLink, frame: Batch) -> None:
-        if link.lag(frame.sent_at) > MOST_LAG:
+        if link.lag(frame.sent_at) > MAX_BATCH_DELAY:
             # The batch was delayed in transit. The search has hedged these calls by now, and its
             # caller may have disconnected: the frame that cancels the batch would be behind it on
             # the same link.
@@ -195,7 +195,7 @@
                 link.send(failure)
             return
         key = (id(link), frame.number)
-        worked = WorkedBatch(self._dispatch, link, frame, lambda: self._executing.pop(key, None))
+        worked = BatchExecution(self._dispatch, link, frame, lambda: self._executing.pop(key, None))
         self._executing[key] = worked
         worked.start()
 
--- a/packages/limpethollow-node/src/limpethollow_node/engine/request/batchworks.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/request/batchexecutions.py
@@ -8,8 +8,13 @@
 from limpethollow_node.engine.messages import Reply
 from limpethollow_node.engine.process.dispatch import Dispatch
 from limpethollow_node.engine.process.pools import Call
-from limpethollow_node.engine.request.judging import judge, judge_failure, read_load, render_call
-from limpethollow_node.engine.request.leaving import tell_if_leaving
+from limpethollow_node.engine.request.leaving import report_if_leaving
+from limpethollow_node.engine.request.replychecks import (
+    judge,
+    load_report_of,
+    render_call,
+    verdict_on_failure,
+)
 from limpethollow_policy.process.loadreports import LoadReport
 from limpethollow_policy.process.searchers import Replica
 from limpethollow_policy.request.parts import PartSet
@@ -21,7 +26,7 @@
 _LATE_MERGE_FRACTION = 0.15
 
 
-class WorkedBatch:
+class BatchExecution:
     """Makes the calls of a batch, and returns merged parts and individual failures.
 
     Args:
@@ -70,7 +75,7 @@
     def start(self) -> None:
         """Make the calls."""
         loop = self._dispatch.loop
-        self._merge_timer = loop.call_later(self._batch.merge_for, self._end_merging)
+        self._merge_timer = loop.call_later(self._batch.merge_window, self._end_merging)
         for call in self._batch.calls:
             replica = self._dispatch.fleet.get(call.searcher)
             if replica is None:
@@ -100,7 +105,7 @@
         call = self._calls.pop(shard)
         if verdict is Verdict.UNKNOWN:
             call.call.close_reply_connection()
-        load = read_load(reply, names)
+        load = load_report_of(reply, names)
         if load is not None:
             call.replica.reported(load, self._dispatch.loop.time())
         if verdict is not Verdict.ANSWERED:
@@ -116,7 +121,7 @@
     def call_failed(self, shard: str, error: Exception, *, sent: bool) -> None:
         """Handle a call that failed without a reply."""
         del self._calls[shard]
-        self._send_failure(shard, judge_failure(error, sent=sent), 0, repr(error))
+        self._send_failure(shard, verdict_on_failure(error, sent=sent), 0, repr(error))
         self._check_completion()
 
     def render(self, replica: Replica, chosen_at: float) -> bytes:
@@ -126,7 +131,7 @@
             replica: The searcher.
             chosen_at: Monotonic time in seconds at which the batch was received.
         """
-        tell_if_leaving(self._dispatch, replica, self.request_id, chosen_at)
+        report_if_leaving(self._dispatch, replica, self.request_id, chosen_at)
         left = self._deadline - self._dispatch.loop.time()
         names = self._dispatch.names
         return render_call(self._batch.head, self._batch.body, names, replica.searcher.id, left)
@@ -147,7 +152,7 @@
         elif not self._merging and self._flush_timer is None:
             later = self._dispatch.loop.call_later
             self._flush_timer = later(
-                _LATE_MERGE_FRACTION * self._batch.merge_for, self._send_parts
+                _LATE_MERGE_FRACTION * self._batch.merge_window, self._send_parts
             )
 
     def _send_parts(self) -> None:
@@ -171,7 +176,7 @@
 
     _numbers = itertools.count(-1, -1)
 
-    def __init__(self, worked: WorkedBatch, shard: str, replica: Replica, now: float) -> None:
+    def __init__(self, worked: BatchExecution, shard: str, replica: Replica, now: float) -> None:
         self._batch_work = worked
         self._shard = shard
         # Negative, to be distinct from the numbers of this instance's own sends.
--- a/packages/limpethollow-node/src/limpethollow_node/engine/request/carriers.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/request/carriers.py
@@ -6,7 +6,7 @@
 from limpethollow_node.engine.connection.peerlinks import PeerLink
 from limpethollow_node.engine.frames import Batch, BatchCall, BatchParts
 from limpethollow_node.engine.process.dispatch import Dispatch
-from limpethollow_node.engine.request.batches import LEAST_CALLS, BatchDesk, SentBatch
+from limpethollow_node.engine.request.batches import MIN_BATCH_CALLS, BatchManager, SentBatch
 from limpethollow_node.engine.request.outgoing import Outgoing
 from limpethollow_node.engine.request.sends import Send
 from limpethollow_policy.request.verdicts import Verdict
@@ -23,7 +23,7 @@
 OnGroup = Callable[[dict[str, bytes], bytes], None]
 
 
-class ShardCarrier:
+class BatchingCarrier:
     """Takes over first sends to other failure domains and delegates them in batches.
 
     An instance with little CPU also delegates the sends to its own failure domain. On 0.12 of a
@@ -51,7 +51,7 @@
     )
 
     def __init__(
-        self, dispatch: Dispatch, desk: BatchDesk, outgoing: Outgoing, on_group: OnGroup
+        self, dispatch: Dispatch, desk: BatchManager, outgoing: Outgoing, on_group: OnGroup
     ) -> None:
         self._dispatch = dispatch
         self._desk = desk
@@ -86,12 +86,12 @@
 
     def _links_for(self, domain: str, calls: int) -> list[PeerLink]:
         """Return links to the instances over which the calls to a failure domain are spread."""
-        if calls < LEAST_CALLS:
+        if calls < MIN_BATCH_CALLS:
             return []
-        wanted = min(math.ceil(calls / self._max_calls), calls // LEAST_CALLS)
-        return self._desk.links_near(domain, max(wanted, 1))
+        wanted = min(math.ceil(calls / self._max_calls), calls // MIN_BATCH_CALLS)
+        return self._desk.links_in_domain(domain, max(wanted, 1))
 
-    def suspect_silent(self) -> None:
+    def report_silent_instances(self) -> None:
         """Report the instances that returned nothing until the hedge delay."""
         for sent in self._sent:
             if sent.silent:
@@ -119,7 +119,7 @@
         self._sent.append(sent)
         for send in sends:
             self._sends[send.service] = send
-            send.call = CarriedCall(sent, send.service)
+            send.call = DelegatedCall(sent, send.service)
 
     def _on_parts(self, parts: BatchParts) -> None:
         self._on_group(parts.proofs, parts.records)
@@ -130,7 +130,7 @@
         self._sends[shard].delegated_call_failed(verdict, status, reason)
 
 
-class CarriedCall:
+class DelegatedCall:
     """A call that was delegated to another instance.
 
     Args:
--- a/packages/limpethollow-node/src/limpethollow_node/engine/request/forwards.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/request/forwards.py
@@ -4,10 +4,10 @@
 from limpethollow_node.engine.messages import Reply, end_to_end
 from limpethollow_node.engine.process.admissioncontrol import SingleAdmission
 from limpethollow_node.engine.process.dispatch import Dispatch
+from limpethollow_node.engine.request.attempts import Attempts
 from limpethollow_node.engine.request.outcomes import Outcome, OutcomeLog
 from limpethollow_node.engine.request.outgoing import Outgoing
 from limpethollow_node.engine.request.searches import RETRY_ELSEWHERE, STOPPING
-from limpethollow_node.engine.request.tries import Tries
 from limpethollow_policy.request.verdicts import Verdict, may_return_failure
 from limpethollow_wire.exceptions import AnswerLate, LimpethollowError, NoUsableReply, Unavailable
 
@@ -46,14 +46,14 @@
         self._outgoing = outgoing
         self._log = log
         self._timers: list = []
-        self._tries = Tries(dispatch, outgoing, service, self._on_done)
+        self._tries = Attempts(dispatch, outgoing, service, self._on_done)
 
     def start(self) -> None:
         """Make the first send and start the timers for hedge, objective and deadline."""
-        self._exchange.on_gone = self._on_disconnect
+        self._exchange.on_disconnect = self._on_disconnect
         loop = self._dispatch.loop
         self._timers = [
-            loop.call_at(self._outgoing.answer_by, self._admission.due),
+            loop.call_at(self._outgoing.reply_by, self._admission.due),
             loop.call_at(self._outgoing.deadline, self._deadline_passed),
         ]
         if self._outgoing.route.idempotent:
@@ -71,7 +71,7 @@
             )
             self._fail(error, "isolated")
 
-    def end_now(self) -> None:
+    def finish_for_shutdown(self) -> None:
         """Fail the request because this instance stops; it may have run only if it was sent."""
         kind = NoUsableReply if self._tries.may_have_run else Unavailable
         self._tries.abandon()
@@ -79,9 +79,9 @@
 
     def _hedge(self) -> None:
         if self._tries.hedge():
-            self._tries.log_again("hedge")
+            self._tries.log_additional_send("hedge")
 
-    def _on_done(self, tries: Tries) -> None:
+    def _on_done(self, tries: Attempts) -> None:
         if tries.verdict is Verdict.ANSWERED:
             self._admission.answered()
             self._relay(tries.reply, "answered")
@@ -93,7 +93,7 @@
             )
             self._fail(error, tries.reason)
         elif tries.verdict is Verdict.NOT_RUN:
-            if tries.found_full:
+            if tries.is_refused_at_capacity:
                 self._admission.full()
             error = Unavailable(
                 "All searchers that were tried are at capacity.", retry_after=_RETRY_WHEN_FULL
--- a/packages/limpethollow-node/src/limpethollow_node/engine/request/leaving.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/request/leaving.py
@@ -5,7 +5,7 @@
 from limpethollow_policy.process.searchers import Replica
 
 
-def tell_if_leaving(
+def report_if_leaving(
     dispatch: Dispatch, replica: Replica, request_id: bytes, chosen_at: float
 ) -> None:
     """Log and count a call if its searcher drains, or has no entry, when the call is sent.
--- a/packages/limpethollow-node/src/limpethollow_node/engine/request/outgoing.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/request/outgoing.py
@@ -31,8 +31,8 @@
         request_id: The caller's id for the request.
         deadline: Monotonic time in seconds by which a reply must be sent to reach the caller before
             it stops waiting.
-        answer_by: Monotonic time in seconds by which a reply must be sent to meet the objective.
-        in_time: Whether a call of typical duration fits into the time until `answer_by`.
+        reply_by: Monotonic time in seconds by which a reply must be sent to meet the objective.
+        in_time: Whether a call of typical duration fits into the time until `reply_by`.
         route: The route.
         timings: Timings of the route.
         is_head: Whether the method is HEAD.
@@ -43,7 +43,7 @@
     body: bytes
     request_id: bytes
     deadline: float
-    answer_by: float
+    reply_by: float
     in_time: bool
     route: Route
     timings: RouteTimings
--- a/packages/limpethollow-node/src/limpethollow_node/engine/request/judging.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/request/replychecks.py
@@ -25,7 +25,7 @@
     )
 
 
-def judge_failure(error: Exception, *, sent: bool) -> Verdict:
+def verdict_on_failure(error: Exception, *, sent: bool) -> Verdict:
     """Return the verdict on a request without a complete reply.
 
     Args:
@@ -37,7 +37,7 @@
     return Verdict.LOST if isinstance(error, LostConnection) else Verdict.UNKNOWN
 
 
-def read_load(reply: Reply, names: HeaderNames) -> LoadReport | None:
+def load_report_of(reply: Reply, names: HeaderNames) -> LoadReport | None:
     """Return the load report in a reply; None if it is missing or can't be decoded."""
     value = reply.header(names.load)
     if value is None:
--- a/packages/limpethollow-node/src/limpethollow_node/engine/request/searches.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/request/searches.py
@@ -6,11 +6,11 @@
 from limpethollow_node.engine.messages import Reply
 from limpethollow_node.engine.process.admissioncontrol import SearchAdmission
 from limpethollow_node.engine.process.dispatch import Dispatch
-from limpethollow_node.engine.request.batches import BatchDesk
-from limpethollow_node.engine.request.carriers import ShardCarrier
+from limpethollow_node.engine.request.attempts import Attempts
+from limpethollow_node.engine.request.batches import BatchManager
+from limpethollow_node.engine.request.carriers import BatchingCarrier
 from limpethollow_node.engine.request.outcomes import Outcome, OutcomeLog
 from limpethollow_node.engine.request.outgoing import Outgoing
-from limpethollow_node.engine.request.tries import Tries
 from limpethollow_node.process import events
 from limpethollow_policy.process.searchers import Replica
 from limpethollow_policy.request.parts import PartSet
@@ -69,7 +69,7 @@
         dispatch: Dispatch,
         exchange: Exchange,
         outgoing: Outgoing,
-        desk: BatchDesk,
+        desk: BatchManager,
         admission: SearchAdmission,
         log: OutcomeLog,
     ) -> None:
@@ -80,15 +80,15 @@
         self._log = log
         self._parts = PartSet(outgoing.route.top)
         self._min_parts = outgoing.route.min_parts
-        self._carrier = ShardCarrier(dispatch, desk, outgoing, self._on_group)
+        self._carrier = BatchingCarrier(dispatch, desk, outgoing, self._on_group)
         self._pending = len(outgoing.route.shards)
         self._awaits_floor = False
         self._timers: list = []
-        self._tries: list[Tries] = []
+        self._tries: list[Attempts] = []
 
     def start(self) -> None:
         """Send the calls and start the timers for hedges, the objective and the deadline."""
-        self._exchange.on_gone = self._on_disconnect
+        self._exchange.on_disconnect = self._on_disconnect
         begun = self._dispatch.clock()
         loop, shards = self._dispatch.loop, self._outgoing.route.shards
         now = loop.time()
@@ -98,11 +98,11 @@
             self._refuse(self._time_until_floor(now))
             return
         self._timers = [
-            loop.call_at(self._outgoing.answer_by, self._on_objective),
+            loop.call_at(self._outgoing.reply_by, self._on_objective),
             loop.call_at(self._outgoing.deadline, self._on_deadline),
         ]
         self._tries = [
-            Tries(self._dispatch, self._outgoing, shard, self._on_part_done, self._carrier)
+            Attempts(self._dispatch, self._outgoing, shard, self._on_part_done, self._carrier)
             for shard in shards
         ]
         for tries, replica in zip(self._tries, chosen, strict=True):
@@ -127,7 +127,7 @@
         )
         self._fail(error, "isolated")
 
-    def end_now(self) -> None:
+    def finish_for_shutdown(self) -> None:
         """Reply with the available parts because this instance stops; fail below the floor."""
         if len(self._parts) >= self._min_parts:
             self._answer("stopping")
@@ -153,7 +153,7 @@
         )
         self._fail(error, "too_few_shards")
 
-    def _on_part_done(self, tries: Tries) -> None:
+    def _on_part_done(self, tries: Attempts) -> None:
         self._pending -= 1
         # A part without a reply of its own was already added with its group.
         if tries.verdict is Verdict.ANSWERED and tries.reply is not None:
@@ -179,7 +179,7 @@
             self._give_up()
 
     def _hedge(self) -> None:
-        self._carrier.suspect_silent()
+        self._carrier.report_silent_instances()
         late = [tries for tries in self._tries if not tries.done]
         if len(late) > max(2, _MAX_HEDGED_FRACTION * len(self._tries)):
             self._dispatch.metrics.count("hedges_withheld")
@@ -188,7 +188,7 @@
             return
         self._log_hedges([tries for tries in late if tries.hedge()])
 
-    def _log_hedges(self, hedged: list[Tries]) -> None:
+    def _log_hedges(self, hedged: list[Attempts]) -> None:
         """Log all hedged shards in one line.
 
         With one line per shard, logging took an instance with little CPU as long as the sends.
@@ -204,7 +204,7 @@
         )
 
     def _on_objective(self) -> None:
-        self._dispatch.own_delay.add(self._dispatch.clock() - self._outgoing.answer_by)
+        self._dispatch.own_delay.add(self._dispatch.clock() - self._outgoing.reply_by)
         self._admission.over(len(self._parts))
         if len(self._parts) >= self._min_parts:
             self._answer("objective")
--- a/packages/limpethollow-node/src/limpethollow_node/engine/request/sends.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/request/sends.py
@@ -6,9 +6,14 @@
 from limpethollow_node.engine.messages import Reply
 from limpethollow_node.engine.process.dispatch import Dispatch
 from limpethollow_node.engine.process.pools import Call, ConnectionAge
-from limpethollow_node.engine.request.judging import judge, judge_failure, read_load, render_call
-from limpethollow_node.engine.request.leaving import tell_if_leaving
+from limpethollow_node.engine.request.leaving import report_if_leaving
 from limpethollow_node.engine.request.outgoing import Outgoing
+from limpethollow_node.engine.request.replychecks import (
+    judge,
+    load_report_of,
+    render_call,
+    verdict_on_failure,
+)
 from limpethollow_policy.process.loadreports import LoadReport
 from limpethollow_policy.process.searchers import Replica
 from limpethollow_policy.request.verdicts import Verdict
@@ -46,7 +51,7 @@
     def ended(self, send: "Send", verdict: Verdict, reply: Reply | None, reason: str) -> None:
         """Handle the outcome of a send."""
 
-    def is_under_way(self, send: "Send") -> bool:
+    def is_in_flight(self, send: "Send") -> bool:
         """Return whether an outcome of the send still counts."""
 
 
@@ -114,7 +119,7 @@
         return self._owner.service
 
     @property
-    def has_left(self) -> bool:
+    def is_sent(self) -> bool:
         """Return whether the request may have been sent to the searcher."""
         return self.call is not None and self.call.sent
 
@@ -149,7 +154,7 @@
     @property
     def is_open(self) -> bool:
         """Return whether an outcome of the send still counts."""
-        return self._owner.is_under_way(self)
+        return self._owner.is_in_flight(self)
 
     def drop(self) -> None:
         """Cancel the send, and record that it would have taken longer than its age."""
@@ -157,7 +162,7 @@
         replica, outgoing = self.replica, self._owner.outgoing
         replica.in_flight.pop(self._number, None)
         replica.observe_lower_bound(_ABANDONED_AGE_FACTOR * seconds / outgoing.timings.usual, now)
-        if self.has_left and 0 <= now - outgoing.deadline < _MAX_TIMER_DELAY:
+        if self.is_sent and 0 <= now - outgoing.deadline < _MAX_TIMER_DELAY:
             replica.window.late(seconds, len(replica.in_flight), now)
         if self.call is not None:
             self.call.cancel()
@@ -171,7 +176,7 @@
     def _render(self) -> bytes:
         outgoing = self._owner.outgoing
         names = self._owner.dispatch.names
-        tell_if_leaving(self._owner.dispatch, self.replica, outgoing.request_id, self.started)
+        report_if_leaving(self._owner.dispatch, self.replica, outgoing.request_id, self.started)
         left = outgoing.deadline - self._now()
         return render_call(outgoing.head, outgoing.body, names, self.replica.searcher.id, left)
 
@@ -180,14 +185,14 @@
         verdict = judge(reply, names, self._owner.outgoing.request_id)
         if verdict is Verdict.UNKNOWN:
             self.call.close_reply_connection()
-        load = read_load(reply, names)
+        load = load_report_of(reply, names)
         if load is not None:
             self.replica.reported(load, self._now())
         self._record(verdict, reply.status, self._age())
         self._owner.ended(self, verdict, reply, f"status_{reply.status}")
 
     def _failed(self, error: Exception) -> None:
-        verdict = judge_failure(error, sent=self.has_left)
+        verdict = verdict_on_failure(error, sent=self.is_sent)
         self._record(verdict, 0, self._age())
         self._owner.ended(self, verdict, None, repr(error))
 
--- a/packages/limpethollow-node/src/limpethollow_node/platform/process.py
+++ b/packages/limpethollow-node/src/limpethollow_node/platform/process.py
@@ -17,7 +17,7 @@
 from limpethollow_node.engine.process.lifecycle import Lifecycle
 from limpethollow_node.engine.process.peers import Peers
 from limpethollow_node.engine.process.roster import Roster
-from limpethollow_node.engine.request.batches import BatchDesk
+from limpethollow_node.engine.request.batches import BatchManager
 from limpethollow_node.platform.checks import StoreCheck
 from limpethollow_node.platform.directory import DirectoryAnswers, ReadyAnswers
 from limpethollow_node.platform.doors import Doors
@@ -109,7 +109,7 @@
             self._dispatch.quarantines,
             settings.seed_hosts,
         )
-        self._engine.desk = BatchDesk(self._dispatch, self._peers)
+        self._engine.desk = BatchManager(self._dispatch, self._peers)
         self._lifetime = ListLifetime(bounds.ttl_max_s)
         self._servers: list[CallerServer] = []
         self._front = self._server(self._engine.handle)
--- a/packages/limpethollow-node/src/limpethollow_node/platform/sinks.py
+++ b/packages/limpethollow-node/src/limpethollow_node/platform/sinks.py
@@ -4,11 +4,11 @@
 from typing import Generic, TypeVar
 
 from limpethollow_node.engine.frames import (
-    EvacuationNews,
+    EvacuationUpdate,
     Frame,
-    InstanceNews,
-    SearcherNews,
-    VersionNews,
+    InstanceUpdate,
+    SearcherUpdate,
+    VersionUpdate,
 )
 from limpethollow_node.engine.process.catalog import Catalog
 from limpethollow_node.platform.codec import (
@@ -90,7 +90,7 @@
         for change in changes:
             version = None if change.deleted else self._take(change.object)
             if version is not None:
-                self._tell(VersionNews(version))
+                self._tell(VersionUpdate(version))
         self._revision = revision
         self._catalog.confirm_version()
 
@@ -122,7 +122,7 @@
         kind: str,
         belief: ObjectCache[T],
         decode: Callable[[StoredObject], T],
-        news: type[SearcherNews] | type[InstanceNews] | type[EvacuationNews],
+        news: type[SearcherUpdate] | type[InstanceUpdate] | type[EvacuationUpdate],
         tell: Tell,
     ) -> None:
         self._kind = kind
@@ -183,9 +183,9 @@
         evacuations: Whether operators may evacuate failure domains.
     """
     kinds = {
-        "evacuations": (catalog.evacuations, decode_evacuation, EvacuationNews),
-        "servers": (catalog.searchers, decode_searcher, SearcherNews),
-        "instances": (catalog.instances, decode_instance, InstanceNews),
+        "evacuations": (catalog.evacuations, decode_evacuation, EvacuationUpdate),
+        "servers": (catalog.searchers, decode_searcher, SearcherUpdate),
+        "instances": (catalog.instances, decode_instance, InstanceUpdate),
     }
     if not evacuations:
         del kinds["evacuations"]
--- a/tests/support/overload.py
+++ b/tests/support/overload.py
@@ -301,8 +301,8 @@
     def _leave(self) -> None:
         if not self._over:
             self._end("failed", 0.0)
-            if self._exchange is not None and self._exchange.on_gone is not None:
-                self._exchange.on_gone()
+            if self._exchange is not None and self._exchange.on_disconnect is not None:
+                self._exchange.on_disconnect()
 
     def _end(self, how: str, worth: float) -> None:
         self._over = True
--- a/tests/support/searches.py
+++ b/tests/support/searches.py
@@ -19,7 +19,7 @@
     def __init__(self, taken: Request, arrived_at: float) -> None:
         self.request = taken
         self.arrived_at = arrived_at
-        self.on_gone = None
+        self.on_disconnect = None
         self.is_first = False
         self.round_trip: float | None = None
         self.caller_host = "10.9.0.1"
@@ -27,7 +27,7 @@
         self.on_reply: Callable[[Reply], None] = lambda reply: None
 
     def respond(self, reply: Reply) -> None:
-        self.on_gone = None
+        self.on_disconnect = None
         self.replies.append(reply)
         self.on_reply(reply)
 
@@ -35,7 +35,7 @@
 class NoDesk:
     """Stands for a desk of batches without a link to anybody."""
 
-    def links_near(self, failure_domain: str, count: int) -> list:
+    def links_in_domain(self, failure_domain: str, count: int) -> list:
         return []
 
 
--- a/tests/unit/engine/test_batchworks.py
+++ b/tests/unit/engine/test_batchworks.py
@@ -1,7 +1,7 @@
 """Batches that this instance works on: what it sends back, and when."""
 
 from limpethollow_node.engine.frames import Batch, BatchCall, BatchFailure, BatchParts
-from limpethollow_node.engine.request.batchworks import WorkedBatch
+from limpethollow_node.engine.request.batchexecutions import BatchExecution
 from limpethollow_policy.request.verdicts import Verdict
 from tests.support.virtual import VirtualDispatch, reply_of
 
@@ -27,7 +27,7 @@
             self.dispatch.add(shard, f"{shard}-1")
         calls = [BatchCall(shard, f"{shard}-1") for shard in shards]
         batch = Batch(7, b"GET / HTTP/1.1\r\n", b"", b"r1", calls, 5, 1.0, MERGE_FOR, 100.0)
-        self.worked = WorkedBatch(self.dispatch, self.link, batch, lambda: None)
+        self.worked = BatchExecution(self.dispatch, self.link, batch, lambda: None)
         self.worked.start()
 
     def answer(self, number: int, proof: bytes | None = None) -> None:
--- a/tests/unit/engine/test_carriers.py
+++ b/tests/unit/engine/test_carriers.py
@@ -1,8 +1,8 @@
 """Which calls of a search other instances make."""
 
 from limpethollow_node.engine.frames import Batch
-from limpethollow_node.engine.request.batches import BatchDesk
-from limpethollow_node.engine.request.carriers import ShardCarrier
+from limpethollow_node.engine.request.batches import BatchManager
+from limpethollow_node.engine.request.carriers import BatchingCarrier
 from limpethollow_node.engine.request.outgoing import Outgoing
 from limpethollow_node.engine.request.sends import Send
 from limpethollow_policy.process.timings import CallPaceEstimator
@@ -46,7 +46,7 @@
     def ended(self, *args) -> None:
         """Take no notice."""
 
-    def is_under_way(self, send: Send) -> bool:
+    def is_in_flight(self, send: Send) -> bool:
         return True
 
 
@@ -60,14 +60,14 @@
     def __init__(self, start_seconds: float) -> None:
         self.dispatch = VirtualDispatch()
         self.links = FakeLinks()
-        desk = BatchDesk(self.dispatch, self.links)
+        desk = BatchManager(self.dispatch, self.links)
         shards = tuple(f"s-{number}" for number in range(12))
         if start_seconds:
             self.dispatch.own_pace.started(len(shards), start_seconds)
         found = route(shards=shards, top=5, floor=0.5, objective=OBJECTIVE)
         exchange = VirtualExchange(request(), self.dispatch.loop.time())
         self.outgoing = Outgoing.of(exchange, found, self.dispatch)
-        carrier = ShardCarrier(self.dispatch, desk, self.outgoing, lambda proofs, body: None)
+        carrier = BatchingCarrier(self.dispatch, desk, self.outgoing, lambda proofs, body: None)
         for number, shard in enumerate(shards):
             self.dispatch.add(shard, f"{shard}-1", "ab"[number % 2])
             replica = self.dispatch.fleet.get(f"{shard}-1")
--- a/tests/unit/engine/test_catalog.py
+++ b/tests/unit/engine/test_catalog.py
@@ -2,7 +2,7 @@
 
 from dataclasses import replace
 
-from limpethollow_node.engine.frames import InstanceNews, SearcherNews
+from limpethollow_node.engine.frames import InstanceUpdate, SearcherUpdate
 from limpethollow_node.engine.process import catalog
 from limpethollow_node.engine.process.catalog import Catalog
 from limpethollow_policy.process.placements import Instance
@@ -54,8 +54,8 @@
         monkeypatch.setattr(catalog.events, "SEARCHER_LISTED", one)
         monkeypatch.setattr(catalog.events, "SEARCHERS_LISTED", many)
         made = Catalog(FleetDispatch(), None, FakeRoster(), 0.0, lambda version: None)
-        made.apply_searchers(SearcherNews(None, 7, searchers(count), []))
-        made.apply_searchers(SearcherNews(7, 8, [], [f"i-{n}" for n in range(count)]))
+        made.apply_searchers(SearcherUpdate(None, 7, searchers(count), []))
+        made.apply_searchers(SearcherUpdate(7, 8, [], [f"i-{n}" for n in range(count)]))
         made.tick(200.0)
         return one.lines, many.lines
 
@@ -82,8 +82,8 @@
         assert many[0]["searchers"]["ready"] == [f"i-{n}" for n in range(444)]
 
 
-def listed(era: int, revision: int, *found: Searcher) -> SearcherNews:
-    return SearcherNews(None, revision, list(found), [], era)
+def listed(era: int, revision: int, *found: Searcher) -> SearcherUpdate:
+    return SearcherUpdate(None, revision, list(found), [], era)
 
 
 class TestReturn:
@@ -103,11 +103,11 @@
         ready, other = searchers(2)
         drained = replace(ready, draining=True)
         made.apply_searchers(listed(1, 20, ready, other))
-        made.apply_searchers(SearcherNews(20, 21, [drained], [], 1))
+        made.apply_searchers(SearcherUpdate(20, 21, [drained], [], 1))
         made.apply_searchers(listed(2, 20, ready, other))
         assert not self.takes_calls(dispatch, "i-0")
         assert self.takes_calls(dispatch, "i-1")
-        made.apply_searchers(SearcherNews(20, 21, [drained], [], 2))
+        made.apply_searchers(SearcherUpdate(20, 21, [drained], [], 2))
         made.tick(dispatch.loop.time() + REWRITE_GRACE_SECONDS)
         assert not self.takes_calls(dispatch, "i-0")
 
@@ -130,7 +130,7 @@
         made, dispatch = self.made()
         found = searchers(2)
         made.apply_searchers(listed(1, 20, *found))
-        made.apply_searchers(SearcherNews(20, 21, [], ["i-0"], 1))
+        made.apply_searchers(SearcherUpdate(20, 21, [], ["i-0"], 1))
         made.tick(dispatch.loop.time() + 10.0)
         assert dispatch.fleet.get("i-0") is None
         made.apply_searchers(listed(2, 20, *found))
@@ -156,10 +156,10 @@
         dispatch = FleetDispatch()
         made = Catalog(dispatch, None, roster, 2.2, lambda version: None)
         one, two = (Instance(name, "1:1", "1:2", "a") for name in ("one", "two"))
-        made.apply_instances(InstanceNews(None, 20, [one, two], [], 1))
-        made.apply_instances(InstanceNews(None, 18, [], [], 2))
+        made.apply_instances(InstanceUpdate(None, 20, [one, two], [], 1))
+        made.apply_instances(InstanceUpdate(None, 18, [], [], 2))
         assert roster.names == {"one", "two"}
-        made.apply_instances(InstanceNews(18, 19, [one], [], 2))
+        made.apply_instances(InstanceUpdate(18, 19, [one], [], 2))
         made.tick(dispatch.loop.time() + REWRITE_GRACE_SECONDS)
         assert roster.names == {"one"}
 
--- a/tests/unit/engine/test_crashes.py
+++ b/tests/unit/engine/test_crashes.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from limpethollow_node.engine.frames import CrashNews, decode_frame, encode_frame
+from limpethollow_node.engine.frames import CrashUpdate, decode_frame, encode_frame
 from limpethollow_node.engine.process.crashreports import CrashReportExchange
 from limpethollow_node.engine.process.quarantines import Quarantines
 from limpethollow_node.process.metrics import Metrics
@@ -293,12 +293,12 @@
 
     def __init__(self, name: str) -> None:
         self.name = self.host = name
-        self.sent: list[CrashNews] = []
+        self.sent: list[CrashUpdate] = []
 
-    def send_encoded(self, data: bytes, frame: CrashNews) -> None:
+    def send_encoded(self, data: bytes, frame: CrashUpdate) -> None:
         self.sent.append(decode_frame(data))
 
-    def send(self, frame: CrashNews) -> None:
+    def send(self, frame: CrashUpdate) -> None:
         self.send_encoded(encode_frame(frame), frame)
 
 
@@ -308,7 +308,7 @@
         quarantines = Quarantines(Metrics(), lambda: 0.0)
         links = {name: FakeLink(name) for name in ("a", "b", "c")}
         exchange = CrashReportExchange(quarantines, links)
-        news = CrashNews([CrashReport(FINGERPRINT, evidence(4, 2))])
+        news = CrashUpdate([CrashReport(FINGERPRINT, evidence(4, 2))])
         exchange.take(links["a"], news)
         exchange.take(links["b"], news)
         assert [len(link.sent) for link in links.values()] == [0, 1, 1]
--- a/tests/unit/engine/test_evacuations.py
+++ b/tests/unit/engine/test_evacuations.py
@@ -9,15 +9,15 @@
     Batch,
     BatchCall,
     BatchFailure,
-    EvacuationNews,
-    SearcherNews,
+    EvacuationUpdate,
+    SearcherUpdate,
 )
 from limpethollow_node.engine.process.catalog import Catalog
 from limpethollow_node.engine.process.dispatch import Dispatch
 from limpethollow_node.engine.process.pools import Call
-from limpethollow_node.engine.request.batchworks import WorkedBatch
+from limpethollow_node.engine.request.attempts import Attempts
+from limpethollow_node.engine.request.batchexecutions import BatchExecution
 from limpethollow_node.engine.request.outgoing import Outgoing
-from limpethollow_node.engine.request.tries import Tries
 from limpethollow_node.platform.headers import HEADERS
 from limpethollow_node.process.metrics import Metrics
 from limpethollow_policy.process.evacuations import Evacuation
@@ -76,14 +76,14 @@
 
 
 class TestRequests:
-    def play(self) -> tuple[VirtualDispatch, Tries, list[Tries]]:
+    def play(self) -> tuple[VirtualDispatch, Attempts, list[Attempts]]:
         dispatch = VirtualDispatch()
         dispatch.add("s", "i-a", "a")
         dispatch.add("s", "i-b", "b")
-        ended: list[Tries] = []
+        ended: list[Attempts] = []
         exchange = VirtualExchange(request(), dispatch.loop.time())
         outgoing = Outgoing.of(exchange, route(), dispatch)
-        return dispatch, Tries(dispatch, outgoing, "s", ended.append), ended
+        return dispatch, Attempts(dispatch, outgoing, "s", ended.append), ended
 
     def test_a_call_that_was_sent_before_is_not_cut(self):
         dispatch, tries, ended = self.play()
@@ -155,7 +155,7 @@
         now = dispatch.loop.time()
         calls = [BatchCall("s", "i-a")]
         frame = Batch(1, b"GET / HTTP/1.1\r\n", b"", b"r1", calls, 5, 1.0, 0.1, now)
-        WorkedBatch(dispatch, link, frame, lambda: None).start()
+        BatchExecution(dispatch, link, frame, lambda: None).start()
         assert not dispatch.played
         assert link.frames == [
             BatchFailure(1, "s", Verdict.NOT_SENT.value, 0, "searcher_not_in_service")
@@ -188,16 +188,16 @@
         return catalog_of(dispatch)
 
     def test_evacuations_come_and_go_with_news(self, dispatch, catalog):
-        catalog.apply_evacuations(EvacuationNews(None, 7, [Evacuation("a")], []))
+        catalog.apply_evacuations(EvacuationUpdate(None, 7, [Evacuation("a")], []))
         assert dispatch.fleet.evacuated == {"a"}
-        catalog.apply_evacuations(EvacuationNews(7, 9, [Evacuation("b")], ["a"]))
+        catalog.apply_evacuations(EvacuationUpdate(7, 9, [Evacuation("b")], ["a"]))
         assert dispatch.fleet.evacuated == {"b"}
 
     def test_older_news_change_nothing(self, dispatch, catalog):
         """Guards against a restored domain that an old word from a peer evacuates again."""
-        catalog.apply_evacuations(EvacuationNews(None, 7, [Evacuation("a")], []))
-        catalog.apply_evacuations(EvacuationNews(None, 9, [], []))
-        catalog.apply_evacuations(EvacuationNews(None, 8, [Evacuation("a")], []))
+        catalog.apply_evacuations(EvacuationUpdate(None, 7, [Evacuation("a")], []))
+        catalog.apply_evacuations(EvacuationUpdate(None, 9, [], []))
+        catalog.apply_evacuations(EvacuationUpdate(None, 8, [Evacuation("a")], []))
         assert dispatch.fleet.evacuated == set()
 
     def test_one_that_the_stores_older_copy_lacks_holds_until_it_could_be_written_again(
@@ -205,26 +205,26 @@
     ):
         """Guards against requests to an evacuated domain after the store has lost the order."""
         catalog.apply_evacuations(
-            EvacuationNews(None, 7, [Evacuation("a"), Evacuation("b")], [], 1)
+            EvacuationUpdate(None, 7, [Evacuation("a"), Evacuation("b")], [], 1)
         )
-        catalog.apply_evacuations(EvacuationNews(None, 5, [], [], 2))
+        catalog.apply_evacuations(EvacuationUpdate(None, 5, [], [], 2))
         assert dispatch.fleet.evacuated == {"a", "b"}
-        catalog.apply_evacuations(EvacuationNews(5, 6, [Evacuation("a")], [], 2))
+        catalog.apply_evacuations(EvacuationUpdate(5, 6, [Evacuation("a")], [], 2))
         catalog.tick(dispatch.loop.time() + REWRITE_GRACE_SECONDS)
         assert dispatch.fleet.evacuated == {"a"}
 
     def test_that_there_are_none_is_news_too(self, catalog):
         """Guards against each starting instance listing the store for what its peers know."""
         nobody = catalog_of(EvacuatingDispatch())
-        catalog.apply_evacuations(EvacuationNews(None, 7, [], []))
+        catalog.apply_evacuations(EvacuationUpdate(None, 7, [], []))
         assert catalog.known.is_ahead_of(nobody.known_up_to)
         nobody.apply_evacuations(catalog.evacuations_since(NOTHING_KNOWN))
         assert not catalog.known.is_ahead_of(nobody.known_up_to)
 
     def test_searchers_that_are_heard_of_later_are_not_used_there(self, dispatch, catalog):
-        catalog.apply_evacuations(EvacuationNews(None, 7, [Evacuation("a")], []))
+        catalog.apply_evacuations(EvacuationUpdate(None, 7, [Evacuation("a")], []))
         one = Searcher("i-a", "s", "10.0.0.1:80", "a", 2)
-        catalog.apply_searchers(SearcherNews(None, 8, [one], []))
+        catalog.apply_searchers(SearcherUpdate(None, 8, [one], []))
         assert dispatch.fleet.choose("s", 100.0, USUAL) is None
 
 
--- a/tests/unit/engine/test_frames.py
+++ b/tests/unit/engine/test_frames.py
@@ -10,12 +10,12 @@
     BatchCall,
     BatchFailure,
     Heartbeat,
-    InstanceNews,
-    SearcherNews,
+    InstanceUpdate,
+    SearcherUpdate,
     decode_frame,
     encode_frame,
 )
-from limpethollow_node.engine.request.batches import MOST_LAG, BatchDesk
+from limpethollow_node.engine.request.batches import MAX_BATCH_DELAY, BatchManager
 from limpethollow_node.process.metrics import Metrics
 from limpethollow_policy.process.catchups import KnownState
 from limpethollow_policy.process.searchers import Searcher
@@ -61,11 +61,11 @@
     The batch and the word that it was over both waited on a crowded link, one behind the other.
     """
 
-    @pytest.mark.parametrize("lag, worked", [(0.0, True), (MOST_LAG + 0.1, False)])
+    @pytest.mark.parametrize("lag, worked", [(0.0, True), (MAX_BATCH_DELAY + 0.1, False)])
     def test_a_batch_that_was_held_up_is_not_worked_on(self, lag, worked):
         dispatch, links, link = VirtualDispatch(), FakeLinks(), KeepingLink()
         dispatch.add("s", "i-1")
-        BatchDesk(dispatch, links)
+        BatchManager(dispatch, links)
         # The clocks of the two ends have nothing to do with each other.
         link.heard_at = 100.0
         links.on_batch_frame(link, batch(1, 5000.0))
@@ -81,7 +81,7 @@
 
     def test_news_of_a_release_without_eras_tell_none(self):
         frame = decode_frame(to_cbor(["searchers", None, 7, [], []]))
-        assert frame == SearcherNews(None, 7, [], [], era=0)
+        assert frame == SearcherUpdate(None, 7, [], [], era=0)
 
     def test_neither_do_its_heartbeats(self):
         known = {"version": 1, "searchers": 2, "instances": 3, "evacuations": 0}
@@ -90,13 +90,13 @@
 
     def test_fields_that_a_later_release_adds_are_passed_over(self):
         frame = decode_frame(to_cbor(["instances", 5, 7, [], [], 2, "later"]))
-        assert frame == InstanceNews(5, 7, [], [], era=2)
+        assert frame == InstanceUpdate(5, 7, [], [], era=2)
 
 
 class TestSize:
     def test_a_list_of_searchers_shrinks_and_comes_back_the_same(self):
         many = [Searcher(f"i-{n}", f"s-{n}", f"10.0.0.{n}:80", "a", 2) for n in range(200)]
-        news = SearcherNews(None, 7, many, [])
+        news = SearcherUpdate(None, 7, many, [])
         data = encode_frame(news)
         assert len(data) < 5000
         assert decode_frame(data) == news
--- a/tests/unit/engine/test_loadreports.py
+++ b/tests/unit/engine/test_loadreports.py
@@ -7,7 +7,7 @@
 
 from limpethollow_node.engine.frames import BatchParts, decode_frame, encode_frame
 from limpethollow_node.engine.messages import Reply
-from limpethollow_node.engine.request.judging import read_load
+from limpethollow_node.engine.request.replychecks import load_report_of
 from limpethollow_node.platform.codec import decode_load
 from limpethollow_node.platform.headers import HEADERS
 from limpethollow_policy.process.fleets import Fleet
@@ -34,10 +34,10 @@
     def test_anything_else_is_refused_and_spoils_no_reply(self, value):
         with pytest.raises(BadRequest):
             decode_load(value)
-        assert read_load(Reply(200, [(HEADERS.load, value)]), HEADERS) is None
+        assert load_report_of(Reply(200, [(HEADERS.load, value)]), HEADERS) is None
 
     def test_a_searcher_may_say_nothing(self):
-        assert read_load(Reply(200, []), HEADERS) is None
+        assert load_report_of(Reply(200, []), HEADERS) is None
 
 
 class TestFrames:
--- a/tests/unit/engine/test_lostsends.py
+++ b/tests/unit/engine/test_lostsends.py
@@ -11,7 +11,7 @@
     LostConnection,
 )
 from limpethollow_node.engine.messages import Request
-from limpethollow_node.engine.request.judging import judge_failure
+from limpethollow_node.engine.request.replychecks import verdict_on_failure
 from limpethollow_node.platform.headers import HEADERS
 from limpethollow_policy.request.verdicts import Verdict
 from tests.support.overload import ModelInstance, World
@@ -59,7 +59,7 @@
         ],
     )
     def test_only_a_request_that_was_sent_can_have_ended_a_searcher(self, error, sent, expected):
-        assert judge_failure(error, sent=sent) is expected
+        assert verdict_on_failure(error, sent=sent) is expected
 
 
 class TestFingerprint:
--- a/tests/unit/engine/test_peers.py
+++ b/tests/unit/engine/test_peers.py
@@ -42,7 +42,7 @@
     def __init__(self, instance: Instance, own_domain: str) -> None:
         self.name = instance.name
         self.source = Source(far=instance.failure_domain != own_domain)
-        self.beat_due = 0.0
+        self.heartbeat_due = 0.0
         self.ready = True
         self.beats: list[Heartbeat] = []
 
--- a/tests/unit/engine/test_second_replies.py
+++ b/tests/unit/engine/test_second_replies.py
@@ -12,8 +12,8 @@
 from limpethollow_node.engine.connection.carried import CarriedRequests
 from limpethollow_node.engine.messages import Request
 from limpethollow_node.engine.process.pools import Call, Pool
+from limpethollow_node.engine.request.attempts import Attempts
 from limpethollow_node.engine.request.outgoing import Outgoing
-from limpethollow_node.engine.request.tries import Tries
 from limpethollow_node.platform.headers import HEADERS
 from limpethollow_policy.process.searchers import Replica
 from limpethollow_policy.request.verdicts import Verdict
@@ -45,7 +45,7 @@
 
     request_id: bytes
     body: bytes
-    ended: asyncio.Future[Tries] = field(default_factory=asyncio.Future)
+    ended: asyncio.Future[Attempts] = field(default_factory=asyncio.Future)
 
 
 class ReplayingSearcher:
@@ -109,7 +109,7 @@
     request = Request(b"POST", b"/x", headers, booking.body)
     exchange = VirtualExchange(request, dispatch.loop.time())
     outgoing = Outgoing.of(exchange, route(idempotent=False), dispatch)
-    Tries(dispatch, outgoing, "s", booking.ended.set_result).start()
+    Attempts(dispatch, outgoing, "s", booking.ended.set_result).start()
 
 
 async def play(steps: list[Step], ids: list[int], connections: int) -> list[str]:
--- a/tests/unit/engine/test_sends.py
+++ b/tests/unit/engine/test_sends.py
@@ -2,8 +2,8 @@
 
 from dataclasses import replace
 
+from limpethollow_node.engine.request.attempts import Attempts
 from limpethollow_node.engine.request.outgoing import Outgoing
-from limpethollow_node.engine.request.tries import Tries
 from limpethollow_policy.request.verdicts import Verdict
 from tests.support.searches import VirtualExchange
 from tests.support.virtual import VirtualDispatch, reply_of, request, route
@@ -18,12 +18,12 @@
     tas-north site (hunt-b23c-3).
     """
 
-    def play(self) -> tuple[VirtualDispatch, Tries]:
+    def play(self) -> tuple[VirtualDispatch, Attempts]:
         dispatch = VirtualDispatch()
         dispatch.add("s", "i-1")
         exchange = VirtualExchange(request(), dispatch.loop.time())
         outgoing = Outgoing.of(exchange, route(), dispatch)
-        tries = Tries(dispatch, outgoing, "s", lambda ended: None)
+        tries = Attempts(dispatch, outgoing, "s", lambda ended: None)
         tries.start()
         return dispatch, tries
 
@@ -60,7 +60,9 @@
         dispatch = VirtualDispatch()
         searcher = dispatch.add("s", "i-1")
         exchange = VirtualExchange(request(), dispatch.loop.time())
-        tries = Tries(dispatch, Outgoing.of(exchange, route(), dispatch), "s", lambda ended: None)
+        tries = Attempts(
+            dispatch, Outgoing.of(exchange, route(), dispatch), "s", lambda ended: None
+        )
         tries.start()
         dispatch.played[0][1].render()
         assert dispatch.metrics.value("sends_to_leaving_searchers", "draining") == 0
--- a/tests/unit/engine/test_silence.py
+++ b/tests/unit/engine/test_silence.py
@@ -1,6 +1,6 @@
 """Which instances callers are told of where one hears few others, or none."""
 
-from limpethollow_node.engine.frames import Silent
+from limpethollow_node.engine.frames import UnheardInstances
 from limpethollow_node.engine.process.failuredetector import ALONE_SECONDS, FailureDetector
 from limpethollow_node.engine.process.roster import Roster
 from limpethollow_policy.process.placements import Instance
@@ -33,7 +33,7 @@
 class TestListedAgain:
     """The entry of an instance that had ended is back with an older copy of the store."""
 
-    def judge(self, *relays: Silent, heard: frozenset[str] = frozenset()) -> list[bool]:
+    def judge(self, *relays: UnheardInstances, heard: frozenset[str] = frozenset()) -> list[bool]:
         """Return whether it is named at once and after a while, given what relays say then."""
         roster = Roster(OWN, lambda: None)
         roster.put(OTHER)
@@ -51,8 +51,11 @@
 
     def test_it_is_not_named_before_the_relays_know_of_its_entry(self):
         """Guards against relays that don't miss it yet, as it was not on their lists."""
-        assert self.judge(Silent([])) == [False, True]
-        assert self.judge(Silent([OTHER.name])) == [False, False]
+        assert self.judge(UnheardInstances([])) == [False, True]
+        assert self.judge(UnheardInstances([OTHER.name])) == [False, False]
 
     def test_it_is_named_as_soon_as_it_is_heard(self):
-        assert self.judge(Silent([OTHER.name]), heard=frozenset({OTHER.name})) == [True, True]
+        assert self.judge(UnheardInstances([OTHER.name]), heard=frozenset({OTHER.name})) == [
+            True,
+            True,
+        ]
--- a/tests/unit/engine/test_tries.py
+++ b/tests/unit/engine/test_tries.py
@@ -3,8 +3,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from limpethollow_node.engine.request.attempts import Attempts
 from limpethollow_node.engine.request.outgoing import Outgoing
-from limpethollow_node.engine.request.tries import Tries
 from limpethollow_policy.request.verdicts import Verdict
 from tests.support.searches import VirtualExchange
 from tests.support.virtual import VirtualDispatch, break_of, reply_of, request, route
@@ -30,11 +30,11 @@
         self.dispatch = VirtualDispatch(slack)
         for number in range(searchers):
             self.dispatch.add("s", f"i-{number}")
-        self.ended: list[Tries] = []
+        self.ended: list[Attempts] = []
         taken = route(**fields)
         exchange = VirtualExchange(request(), self.dispatch.loop.time())
         outgoing = Outgoing.of(exchange, taken, self.dispatch)
-        self.tries = Tries(self.dispatch, outgoing, "s", self.ended.append)
+        self.tries = Attempts(self.dispatch, outgoing, "s", self.ended.append)
         self.tries.start()
 
     @property
@@ -76,8 +76,8 @@
             while play.verdict is None:
                 reply_of(play.calls[-1], status, not_run=True)
         assert full.verdict is moved.verdict is Verdict.NOT_RUN
-        assert full.tries.found_full
-        assert not moved.tries.found_full
+        assert full.tries.is_refused_at_capacity
+        assert not moved.tries.is_refused_at_capacity
 
     def test_a_hedge_asks_another_searcher_and_the_first_answer_wins(self):
         play = Play()
--- a/tests/unit/platform/test_sinks.py
+++ b/tests/unit/platform/test_sinks.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from limpethollow_node.engine.frames import InstanceNews
+from limpethollow_node.engine.frames import InstanceUpdate
 from limpethollow_node.platform.codec import StoredObject
 from limpethollow_node.platform.sinks import BeliefSink
 from limpethollow_node.platform.store import Change
@@ -27,9 +27,9 @@
     """A sink with its belief, and the frames that it told."""
 
     def __init__(self, era: int, number: int, *names: str) -> None:
-        self.told: list[InstanceNews] = []
+        self.told: list[InstanceUpdate] = []
         self.belief: ObjectCache[Instance] = ObjectCache(lambda item: None, lambda name: None)
-        self.sink = BeliefSink("instances", self.belief, decode, InstanceNews, self.told.append)
+        self.sink = BeliefSink("instances", self.belief, decode, InstanceUpdate, self.told.append)
         self.belief.replace(
             {name: decode(change(name).object) for name in names}, Revision(era, number)
         )
