--- a/packages/limpethollow-policy/src/limpethollow_policy/process/answers.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/answers.py
@@ -70,7 +70,7 @@
         if not self._replicas.usable_holders(gather.search.shards, now):
             return Unavailable("No searcher of the service is available.", retry_after=retry_after)
         if gather.search.min_version:
-            message = f"Version {gather.search.min_version} is not available on all shards yet."
+            message = f"Index version {gather.search.min_version} is not on all shards yet."
         else:
             message = f"No searcher serves partition epoch {self._replicas.epoch} at present."
         return VersionGone(
