--- a/benchmarks/ablation/mechanisms.py
+++ b/benchmarks/ablation/mechanisms.py
@@ -75,17 +75,21 @@
 _mechanism(
     "withholding",
     "second sends also where most shards are late",
-    _searches("_MOST_HEDGED = 0.5", "_MOST_HEDGED = 1.0"),
+    _searches("_MAX_HEDGED_FRACTION = 0.5", "_MAX_HEDGED_FRACTION = 1.0"),
 )
 _mechanism(
     "second-look",
     "withheld second sends are not made later",
-    _searches("_LOOK_AGAIN_SHARE = 0.25", "_LOOK_AGAIN_SHARE = 1000.0"),
+    _searches("_RECHECK_FRACTION = 0.25", "_RECHECK_FRACTION = 1000.0"),
 )
 _mechanism(
     "hedge-reserve",
     "second sends may use up the budget for repeats of failed ones",
-    Edit(_ENGINE + "request/tries.py", "_HEDGE_RESERVE = 0.25", "_HEDGE_RESERVE = 0.0"),
+    Edit(
+        _ENGINE + "request/attempts.py",
+        "_HEDGE_RESERVE_FRACTION = 0.25",
+        "_HEDGE_RESERVE_FRACTION = 0.0",
+    ),
 )
 _mechanism(
     "cut-losers",
@@ -110,19 +114,21 @@
     "floor-first",
     "searches start although their floor is out of reach",
     _searches(
-        "        if len(shards) - chosen.count(None) < self._least_parts:\n",
+        "        if len(shards) - chosen.count(None) < self._min_parts:\n",
         "        if chosen.count(None) == len(shards):\n",
     ),
 )
 _mechanism(
     "admission",
     "every search is admitted",
-    Edit(_ENGINE + "process/intake.py", "        if wait > 0:\n", "        if wait < 0:\n"),
+    Edit(
+        _ENGINE + "process/admissioncontrol.py", "        if wait > 0:\n", "        if wait < 0:\n"
+    ),
 )
 _mechanism(
     "batches",
     "each call to another failure domain is made directly",
-    Edit(_ENGINE + "request/batches.py", "LEAST_CALLS = 2", "LEAST_CALLS = 1_000_000"),
+    Edit(_ENGINE + "request/batches.py", "MIN_BATCH_CALLS = 2", "MIN_BATCH_CALLS = 1_000_000"),
 )
 _mechanism(
     "relays",
@@ -145,7 +151,11 @@
 _mechanism(
     "warming",
     "connections are opened when a call needs them",
-    Edit(_ENGINE + "process/dispatch.py", "_LEAST_TO_WARM = 2", "_LEAST_TO_WARM = 1_000_000"),
+    Edit(
+        _ENGINE + "process/dispatch.py",
+        "_MIN_CONNECTIONS_TO_WARM = 2",
+        "_MIN_CONNECTIONS_TO_WARM = 1_000_000",
+    ),
 )
 _mechanism(
     "learnt-spent",
@@ -161,29 +171,29 @@
     "callers are told all instances",
     Edit(
         _POLICY + "process/placements.py",
-        "    strong = strong_among(live)\n    near =",
-        "    return sorted(live, key=lambda i: i.name)[:MOST_ENTRIES]\n"
-        "    strong = strong_among(live)\n    near =",
+        "    strong = strongest_instances(live)\n    near =",
+        "    return sorted(live, key=lambda i: i.name)[:MAX_CALLER_INSTANCES]\n"
+        "    strong = strongest_instances(live)\n    near =",
     ),
 )
 _mechanism(
     "slowness",
     "a searcher's past call times don't count",
-    _searchers("self.slowness += _NEWEST * (ratio - self.slowness)", "pass"),
+    _searchers("self.slowness += _SMOOTHING * (ratio - self.slowness)", "pass"),
     _searchers(
-        "self.slowness += _NEWEST * (min(ratio, _SLOWEST) - self.slowness)",
+        "self.slowness += _SMOOTHING * (min(ratio, _MAX_SLOWNESS) - self.slowness)",
         "pass",
     ),
 )
 _mechanism(
     "failures",
     "a searcher's past failures don't count",
-    _searchers("_FAILURE_WEIGHT = 8.0", "_FAILURE_WEIGHT = 0.0"),
+    _searchers("_FAILURE_COST_WEIGHT = 8.0", "_FAILURE_COST_WEIGHT = 0.0"),
 )
 _mechanism(
     "stuck",
     "a call that is under way for long doesn't count",
-    _searchers("_STUCK_FACTOR = 4.0", "_STUCK_FACTOR = 1.0"),
+    _searchers("_STUCK_COST_FACTOR = 4.0", "_STUCK_COST_FACTOR = 1.0"),
 )
 _mechanism(
     "own-domain",
@@ -193,7 +203,7 @@
 _mechanism(
     "unlisted",
     "searchers whose entry is gone count like the others",
-    _searchers("_UNLISTED_FACTOR = 6.0", "_UNLISTED_FACTOR = 1.0"),
+    _searchers("_UNLISTED_COST_FACTOR = 6.0", "_UNLISTED_COST_FACTOR = 1.0"),
 )
 _mechanism(
     "isolation",
@@ -247,5 +257,5 @@
 _mechanism(
     "quick-answers",
     "each refusal of a searcher counts as a sign of load",
-    Edit(_POLICY + "process/singles.py", "_QUEUED_SHARE = 0.5", "_QUEUED_SHARE = 0.0"),
+    Edit(_POLICY + "process/singleshedding.py", "_QUEUED_SHARE = 0.5", "_QUEUED_SHARE = 0.0"),
 )
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/crashnews.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/crashreports.py
@@ -1,18 +1,18 @@
-"""Evidence on requests that end searchers, spread among all instances."""
+"""Distributes crash reports, the evidence on requests that crash searchers, to all instances."""
 
 from collections.abc import Mapping, Sequence
 
 from limpethollow_node.engine.connection.peerlinks import PeerLink
-from limpethollow_node.engine.frames import CrashNews, encode_frame
+from limpethollow_node.engine.frames import CrashUpdate, encode_frame
 from limpethollow_node.engine.process.quarantines import Quarantines
 from limpethollow_policy.process.crashes import CrashReport
 
 
-class CrashNewsExchange:
-    """Tells linked instances what is new here, and tells on what was new from them.
+class CrashReportExchange:
+    """Sends new crash reports to linked instances, and forwards those received that were new.
 
-    Not every two instances are linked. What is told on only where it was new reaches all of them,
-    once over each link, and comes to an end.
+    Not every pair of instances is linked. Forwarding only new reports delivers them to all
+    instances, crosses each link once, and terminates.
 
     Args:
         quarantines: The evidence.
@@ -27,21 +27,21 @@
         quarantines.on_reports = self.tell
 
     def tell(self, reports: Sequence[CrashReport], source: PeerLink | None = None) -> None:
-        """Tell reports to all linked instances but the one that told them."""
-        frame = CrashNews(list(reports))
+        """Send reports to all linked instances except the one that they came from."""
+        frame = CrashUpdate(list(reports))
         data = encode_frame(frame)
         for link in self._links.values():
             if link is not source:
                 link.send_encoded(data, frame)
 
     def greet(self, link: PeerLink) -> None:
-        """Tell all evidence to an instance that was just linked."""
+        """Send all reports to an instance that was just linked."""
         reports = self._quarantines.reports()
         if reports:
-            link.send(CrashNews(reports))
+            link.send(CrashUpdate(reports))
 
-    def take(self, link: PeerLink, news: CrashNews) -> None:
-        """Take in what an instance told."""
+    def take(self, link: PeerLink, news: CrashUpdate) -> None:
+        """Apply reports from an instance, and forward those that were new."""
         fresh = self._quarantines.take(news.reports, link.name or link.host)
         if fresh:
             self.tell(fresh, link)
--- a/packages/limpethollow-node/src/limpethollow_node/engine/request/judging.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/request/replychecks.py
@@ -1,22 +1,22 @@
-"""Reads a searcher's reply for what it proves."""
+"""Evaluates what a searcher's reply, or its absence, proves about a request."""
 
 from limpethollow_node.engine.connection.clients import LostConnection
 from limpethollow_node.engine.messages import HeaderNames, Reply
 from limpethollow_node.process import events
 from limpethollow_policy.process.loadreports import LoadReport
-from limpethollow_policy.request.verdicts import Verdict, judge_reply
+from limpethollow_policy.request.verdicts import Verdict, classify_reply
 from limpethollow_wire.exceptions import BadRequest
 
 
 def judge(reply: Reply, names: HeaderNames, request_id: bytes) -> Verdict:
-    """Return what a whole reply proves about a request.
+    """Return the verdict on a request from a complete reply.
 
     Args:
         reply: The reply.
         names: The deployment's header names.
         request_id: Id of the request.
     """
-    return judge_reply(
+    return classify_reply(
         reply.status,
         own_id=reply.header(names.request_id) == request_id,
         proved=reply.header(names.proof) is not None,
@@ -25,20 +25,20 @@
     )
 
 
-def judge_failure(error: Exception, *, sent: bool) -> Verdict:
-    """Return what is known of a request that gets no whole reply.
+def verdict_on_failure(error: Exception, *, sent: bool) -> Verdict:
+    """Return the verdict on a request without a complete reply.
 
     Args:
-        error: Why there is none.
-        sent: Whether bytes of the request went out.
+        error: The error that occurred instead.
+        sent: Whether bytes of the request were sent.
     """
     if not sent:
         return Verdict.NOT_SENT
     return Verdict.LOST if isinstance(error, LostConnection) else Verdict.UNKNOWN
 
 
-def read_load(reply: Reply, names: HeaderNames) -> LoadReport | None:
-    """Return what a searcher says of its load with a reply; None where it says nothing of use."""
+def load_report_of(reply: Reply, names: HeaderNames) -> LoadReport | None:
+    """Return the load report in a reply; None if it is missing or can't be decoded."""
     value = reply.header(names.load)
     if value is None:
         return None
@@ -50,14 +50,14 @@
 
 
 def render_call(head: bytes, body: bytes, names: HeaderNames, searcher: str, left: float) -> bytes:
-    """Return a request to one searcher as it is sent.
+    """Return the encoded request to a searcher.
 
     Args:
-        head: Request line and headers, without those that differ between calls.
+        head: Request line and headers, without the headers that differ between calls.
         body: The request's body.
         names: The deployment's header names.
-        searcher: Id of the searcher, the only one that shall run the request.
-        left: Seconds until nobody waits for the reply.
+        searcher: Id of the searcher, the only one that may run the request.
+        left: Seconds until the reply is no longer awaited.
     """
     return b"%b%b: %b\r\n%b: %d\r\n\r\n%b" % (
         head,
--- a/packages/limpethollow-node/src/limpethollow_node/platform/process.py
+++ b/packages/limpethollow-node/src/limpethollow_node/platform/process.py
@@ -17,7 +17,7 @@
 from limpethollow_node.engine.process.lifecycle import Lifecycle
 from limpethollow_node.engine.process.peers import Peers
 from limpethollow_node.engine.process.roster import Roster
-from limpethollow_node.engine.request.batches import BatchDesk
+from limpethollow_node.engine.request.batches import BatchManager
 from limpethollow_node.platform.checks import StoreCheck
 from limpethollow_node.platform.directory import DirectoryAnswers, ReadyAnswers
 from limpethollow_node.platform.doors import Doors
@@ -42,11 +42,11 @@
 from limpethollow_policy.process.changepaces import ChangePace
 from limpethollow_policy.process.fleets import Fleet
 from limpethollow_policy.process.lifetimes import ListLifetime
-from limpethollow_policy.process.placements import Instance, entries_for
+from limpethollow_policy.process.placements import Instance, instances_for_caller
 from limpethollow_policy.process.sendbudgets import SendBudget
 from limpethollow_policy.process.slackclaims import SlackClaim
 from limpethollow_policy.process.topology import WatchRole
-from limpethollow_policy.version.routes import RoutingVersion, VersionBook
+from limpethollow_policy.version.routes import CurrentVersion, RoutingVersion
 from limpethollow_wire.exceptions import LimpethollowError, SettingsError
 
 # Kinds whose changes come in rows, as when a service is replaced. Configurations do not.
@@ -90,7 +90,7 @@
         self._dispatch = Dispatch(
             Fleet(settings.zone, self._rng), self._budget, HEADERS, self.metrics
         )
-        self._engine = Engine(self._dispatch, VersionBook())
+        self._engine = Engine(self._dispatch, CurrentVersion())
         self._roster = Roster(_own_instance(settings), self._instances_changed)
         self._catalog = Catalog(
             self._dispatch,
@@ -109,7 +109,7 @@
             self._dispatch.quarantines,
             settings.seed_hosts,
         )
-        self._engine.desk = BatchDesk(self._dispatch, self._peers)
+        self._engine.desk = BatchManager(self._dispatch, self._peers)
         self._lifetime = ListLifetime(bounds.ttl_max_s)
         self._servers: list[CallerServer] = []
         self._front = self._server(self._engine.handle)
@@ -164,7 +164,7 @@
         self._follower.choose(asyncio.get_running_loop().time())
         tasks = [asyncio.create_task(_told(job)) for job in self._jobs()]
         try:
-            await self._life.wait_for_leave()
+            await self._life.wait_for_shutdown_request()
             await self._life.leave(self._servers, self._settings.bounds.grace_s)
         finally:
             for task in tasks:
@@ -185,7 +185,7 @@
         """Take over what can change while the process runs: the bounds."""
         bounds = settings.bounds
         self._settings = settings
-        self._budget.set_bounds(
+        self._budget.set_limits(
             bounds.retry_budget_ratio,
             bounds.retry_budget_slack,
             bounds.budget_window_s,
@@ -195,12 +195,12 @@
         self._lifetime.longest = bounds.ttl_max_s
         events.SETTINGS_RELOADED.log(bounds=str(bounds))
 
-    def ask_to_leave(self) -> None:
+    def request_shutdown(self) -> None:
         """Begin the graceful shutdown."""
-        self._life.ask_to_leave()
+        self._life.request_shutdown()
 
     def _show_state(self) -> None:
-        self._catalog.show_ages(self.metrics)
+        self._catalog.register_gauges(self.metrics)
         loop = asyncio.get_running_loop()
         self.metrics.gauge("own_delay_seconds", lambda: self._dispatch.own_delay.allowance)
         self.metrics.gauge("admitted_rate", lambda: self._engine.admitted_rate)
@@ -208,7 +208,7 @@
         self.metrics.gauge("ready", lambda: self._life.is_ready)
         self.metrics.gauge("follows_store", lambda: self._peers.follows)
         self.metrics.gauge("quarantined_requests", lambda: self._dispatch.quarantines.count)
-        self.metrics.gauge("instances_heard", lambda: self._peers.heard_count(loop.time()))
+        self.metrics.gauge("instances_heard", lambda: self._peers.count_heard_peers(loop.time()))
 
     def _new_feeds(self) -> list[Feed]:
         """Return a feed for each kind, that of instances last."""
@@ -232,7 +232,7 @@
     def _listed(self, kind: str) -> None:
         self._follower.choose(asyncio.get_running_loop().time())
         if kind == KIND:
-            self._peers.link_up()
+            self._peers.open_missing_links()
         if all(feed.listed for feed in self._feeds):
             self._peers.announce()
 
@@ -286,7 +286,7 @@
         if self._settings_file.changed():
             self.reload_settings()
         self._life.tick(now)
-        self._slack_claim.heard(len(self._roster) - 1, self._peers.heard_count(now), now)
+        self._slack_claim.heard(len(self._roster) - 1, self._peers.count_heard_peers(now), now)
         self._follower.tick(now)
         for server in self._servers:
             server.sweep(now)
@@ -307,12 +307,12 @@
 
     def _instances_changed(self) -> None:
         self._slack_claim.listed(self._roster.is_listed, asyncio.get_running_loop().time())
-        self._dispatch.share_among(self._roster.sharers)
+        self._dispatch.share_among(self._roster.share_divisor)
 
     def _addresses_for(self, domain: str) -> list[str]:
         searchers = self._dispatch.fleet.domains(self._services)
         live = self._roster.live
-        chosen = entries_for(live, domain, searchers, self._roster.known)
+        chosen = instances_for_caller(live, domain, searchers, self._roster.known)
         return [instance.address for instance in chosen] or [self._roster.own.address]
 
     def _list_lifetime(self) -> float:
--- a/packages/limpethollow-node/src/limpethollow_node/request/owners.py
+++ b/packages/limpethollow-node/src/limpethollow_node/request/owners.py
@@ -14,10 +14,10 @@
 from limpethollow_node.process.members import MemberKeeper
 from limpethollow_node.process.metrics import Metrics
 from limpethollow_node.request.parts import GRACE_SECONDS, GroupParts
-from limpethollow_policy.process.dispatches import find_dispatch
+from limpethollow_policy.process.dispatches import find_dispatch_policy
 from limpethollow_policy.process.owners import SilentOwners, group_key, spread_over_owners
 from limpethollow_policy.request.forwards import ForwardPlan
-from limpethollow_policy.request.hedges import ShareBudget
+from limpethollow_policy.request.hedges import RatioBudget
 from limpethollow_wire.exceptions import LimpethollowError, Unavailable, VersionGone
 from limpethollow_wire.peers import Acknowledgement, Records
 from limpethollow_wire.searches import (
@@ -72,7 +72,7 @@
         self._parts = parts
         self._metrics = metrics
         self._silent = SilentOwners()
-        self._hedges = ShareBudget(_HEDGE_SHARE, _HEDGE_RESERVE)
+        self._hedges = RatioBudget(_HEDGE_SHARE, _HEDGE_RESERVE)
         self._workers = ThreadPoolExecutor(_WORKERS, thread_name_prefix="owners")
         # Work of one pool must not wait for work of the same pool: all threads might be waiting.
         self._group_workers = ThreadPoolExecutor(_WORKERS, thread_name_prefix="groups")
@@ -116,7 +116,7 @@
         spec = record.spec
         assert spec is not None
         key = group_key(record.name, index)
-        dispatch = find_dispatch(spec.dispatch)
+        dispatch = find_dispatch_policy(spec.dispatch)
         order = dispatch(key, self._own_id, self._members.routable())
         if self._own_id not in order:
             order = [*order, self._own_id]
@@ -176,7 +176,7 @@
     def _next_if_overdue(self, plan: ForwardPlan, deadline: float) -> str | None:
         now = time.monotonic()
         require_time(deadline + GRACE_SECONDS - now)
-        owner = plan.overdue(now, self._hedges.available)
+        owner = plan.next_hedge(now, self._hedges.available)
         if owner is not None:
             self._hedges.spend()
             self._metrics.count("forwards_hedged", "silent_owner")
@@ -186,7 +186,7 @@
         self._silent.answered(answerer)
         now = time.monotonic()
         for owner in pending.values():
-            self._silent.was_silent(owner, now)
+            self._silent.mark_silent(owner, now)
 
     def _ask_one(
         self,
--- a/tests/support/searches.py
+++ b/tests/support/searches.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from limpethollow_node.engine.messages import Reply, Request
-from limpethollow_node.engine.process.intake import Intake
+from limpethollow_node.engine.process.admissioncontrol import AdmissionControl
 from limpethollow_node.engine.process.pools import Call
 from limpethollow_node.engine.request.outcomes import Outcome
 from limpethollow_node.engine.request.outgoing import Outgoing
@@ -19,7 +19,7 @@
     def __init__(self, taken: Request, arrived_at: float) -> None:
         self.request = taken
         self.arrived_at = arrived_at
-        self.on_gone = None
+        self.on_disconnect = None
         self.is_first = False
         self.round_trip: float | None = None
         self.caller_host = "10.9.0.1"
@@ -27,7 +27,7 @@
         self.on_reply: Callable[[Reply], None] = lambda reply: None
 
     def respond(self, reply: Reply) -> None:
-        self.on_gone = None
+        self.on_disconnect = None
         self.replies.append(reply)
         self.on_reply(reply)
 
@@ -35,7 +35,7 @@
 class NoDesk:
     """Stands for a desk of batches without a link to anybody."""
 
-    def links_near(self, failure_domain: str, count: int) -> list:
+    def links_in_domain(self, failure_domain: str, count: int) -> list:
         return []
 
 
@@ -71,7 +71,7 @@
         outgoing = Outgoing.of(self.exchange, found, self.dispatch)
         self.hedge_delay = outgoing.timings.hedge_delay
         self.guard = outgoing.guard
-        admission = Intake(self.dispatch).admit_search(outgoing)
+        admission = AdmissionControl(self.dispatch).admit_search(outgoing)
         self.search = Search(
             self.dispatch, self.exchange, outgoing, NoDesk(), admission, self._ended
         )
--- a/tests/unit/engine/test_crashes.py
+++ b/tests/unit/engine/test_crashes.py
@@ -4,15 +4,15 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from limpethollow_node.engine.frames import CrashNews, decode_frame, encode_frame
-from limpethollow_node.engine.process.crashnews import CrashNewsExchange
+from limpethollow_node.engine.frames import CrashUpdate, decode_frame, encode_frame
+from limpethollow_node.engine.process.crashreports import CrashReportExchange
 from limpethollow_node.engine.process.quarantines import Quarantines
 from limpethollow_node.process.metrics import Metrics
 from limpethollow_policy.process.crashes import (
     QUARANTINE_SECONDS,
     RETRIAL_SECONDS,
     CrashEvidence,
-    CrashLedger,
+    CrashRecords,
     CrashReport,
     Standing,
 )
@@ -106,7 +106,7 @@
         random.shuffle(other)
         standings = set()
         for order in (told, other):
-            ledger = CrashLedger()
+            ledger = CrashRecords()
             for each in order:
                 ledger.add(CrashReport(FINGERPRINT, each), 1.0)
             standings.add(ledger.evidence(FINGERPRINT).standing)
@@ -114,21 +114,21 @@
 
     def test_old_evidence_does_not_undo_a_release(self):
         """Guards against a release that ends with the next link to an instance that missed it."""
-        ledger, old = CrashLedger(), CrashReport(FINGERPRINT, evidence(4, 2))
+        ledger, old = CrashRecords(), CrashReport(FINGERPRINT, evidence(4, 2))
         ledger.add(old, 1.0)
         ledger.release(FINGERPRINT, 2.0)
         ledger.add(old, 3.0)
         assert ledger.evidence(FINGERPRINT).standing is Standing.TRUSTED
 
     def test_a_quarantine_ends_by_itself_after_a_day(self):
-        ledger = CrashLedger()
+        ledger = CrashRecords()
         ledger.add(CrashReport(FINGERPRINT, evidence(4, 2)), 1.0)
         assert not ledger.expire(QUARANTINE_SECONDS)
         assert ledger.expire(QUARANTINE_SECONDS + 2.0) == [FINGERPRINT]
 
     def test_a_quarantined_request_gets_one_more_trial_and_only_one(self):
         """Guards against requests that stay refused because their searchers ended by chance."""
-        ledger = CrashLedger()
+        ledger = CrashRecords()
         ledger.add(CrashReport(FINGERPRINT, evidence(4, 2)), 1.0)
         assert not ledger.grant_retrial(FINGERPRINT, RETRIAL_SECONDS)
         assert ledger.grant_retrial(FINGERPRINT, RETRIAL_SECONDS + 2.0)
@@ -138,7 +138,7 @@
 
     def test_many_suspects_do_not_push_out_a_quarantine(self):
         """Guards against callers that make room for a crashing request by sending many others."""
-        ledger = CrashLedger()
+        ledger = CrashRecords()
         ledger.add(CrashReport(FINGERPRINT, evidence(4, 2)), 1.0)
         for number in range(1000):
             ledger.add(CrashReport(f"other-{number}", evidence(1, 0)), 2.0)
@@ -202,7 +202,7 @@
         here, there = (Quarantines(Metrics(), lambda: 0.0) for _ in range(2))
         told = CrashReport(FINGERPRINT, evidence(3, 1))
         link = FakeLink("there")
-        CrashNewsExchange(here, {"there": link})
+        CrashReportExchange(here, {"there": link})
         for each in (here, there):
             each.take([told], "third")
         guard = here.guard(FINGERPRINT)
@@ -293,12 +293,12 @@
 
     def __init__(self, name: str) -> None:
         self.name = self.host = name
-        self.sent: list[CrashNews] = []
+        self.sent: list[CrashUpdate] = []
 
-    def send_encoded(self, data: bytes, frame: CrashNews) -> None:
+    def send_encoded(self, data: bytes, frame: CrashUpdate) -> None:
         self.sent.append(decode_frame(data))
 
-    def send(self, frame: CrashNews) -> None:
+    def send(self, frame: CrashUpdate) -> None:
         self.send_encoded(encode_frame(frame), frame)
 
 
@@ -307,8 +307,8 @@
         """Guards against instances without a link to the one that found a crashing request."""
         quarantines = Quarantines(Metrics(), lambda: 0.0)
         links = {name: FakeLink(name) for name in ("a", "b", "c")}
-        exchange = CrashNewsExchange(quarantines, links)
-        news = CrashNews([CrashReport(FINGERPRINT, evidence(4, 2))])
+        exchange = CrashReportExchange(quarantines, links)
+        news = CrashUpdate([CrashReport(FINGERPRINT, evidence(4, 2))])
         exchange.take(links["a"], news)
         exchange.take(links["b"], news)
         assert [len(link.sent) for link in links.values()] == [0, 1, 1]
@@ -318,7 +318,7 @@
         quarantines = Quarantines(Metrics(), lambda: 0.0)
         quarantine(quarantines, FINGERPRINT)
         link = FakeLink("late")
-        CrashNewsExchange(quarantines, {}).greet(link)
+        CrashReportExchange(quarantines, {}).greet(link)
         assert link.sent[0].reports[0].evidence.standing is Standing.QUARANTINED
 
     def test_a_release_reaches_the_other_instances(self):
@@ -326,7 +326,7 @@
         for each in (here, there):
             quarantine(each, FINGERPRINT)
         link = FakeLink("there")
-        CrashNewsExchange(here, {"there": link})
+        CrashReportExchange(here, {"there": link})
         here.release(FINGERPRINT, "operator")
         there.take(link.sent[0].reports, "here")
         assert there.guard(FINGERPRINT).standing is Standing.TRUSTED
--- a/tests/unit/engine/test_evacuations.py
+++ b/tests/unit/engine/test_evacuations.py
@@ -9,25 +9,25 @@
     Batch,
     BatchCall,
     BatchFailure,
-    EvacuationNews,
-    SearcherNews,
+    EvacuationUpdate,
+    SearcherUpdate,
 )
 from limpethollow_node.engine.process.catalog import Catalog
 from limpethollow_node.engine.process.dispatch import Dispatch
 from limpethollow_node.engine.process.pools import Call
-from limpethollow_node.engine.request.batchworks import WorkedBatch
+from limpethollow_node.engine.request.attempts import Attempts
+from limpethollow_node.engine.request.batchexecutions import BatchExecution
 from limpethollow_node.engine.request.outgoing import Outgoing
-from limpethollow_node.engine.request.tries import Tries
 from limpethollow_node.platform.headers import HEADERS
 from limpethollow_node.process.metrics import Metrics
 from limpethollow_policy.process.evacuations import Evacuation
 from limpethollow_policy.process.fleets import Fleet
-from limpethollow_policy.process.removals import RETURN_SECONDS
+from limpethollow_policy.process.removals import REWRITE_GRACE_SECONDS
 from limpethollow_policy.process.revisions import NOTHING_KNOWN
 from limpethollow_policy.process.searchers import Searcher
 from limpethollow_policy.process.sendbudgets import SendBudget
 from limpethollow_policy.request.verdicts import Verdict
-from limpethollow_policy.version.routes import ServiceLimits, VersionBook
+from limpethollow_policy.version.routes import CurrentVersion, ServiceLimits
 from tests.support.searches import SearchPlay, VirtualExchange
 from tests.support.virtual import VirtualDispatch, break_of, reply_of, request, route
 from tests.unit.engine.test_catalog import FakeRoster, FleetDispatch
@@ -76,14 +76,14 @@
 
 
 class TestRequests:
-    def play(self) -> tuple[VirtualDispatch, Tries, list[Tries]]:
+    def play(self) -> tuple[VirtualDispatch, Attempts, list[Attempts]]:
         dispatch = VirtualDispatch()
         dispatch.add("s", "i-a", "a")
         dispatch.add("s", "i-b", "b")
-        ended: list[Tries] = []
+        ended: list[Attempts] = []
         exchange = VirtualExchange(request(), dispatch.loop.time())
         outgoing = Outgoing.of(exchange, route(), dispatch)
-        return dispatch, Tries(dispatch, outgoing, "s", ended.append), ended
+        return dispatch, Attempts(dispatch, outgoing, "s", ended.append), ended
 
     def test_a_call_that_was_sent_before_is_not_cut(self):
         dispatch, tries, ended = self.play()
@@ -155,7 +155,7 @@
         now = dispatch.loop.time()
         calls = [BatchCall("s", "i-a")]
         frame = Batch(1, b"GET / HTTP/1.1\r\n", b"", b"r1", calls, 5, 1.0, 0.1, now)
-        WorkedBatch(dispatch, link, frame, lambda: None).start()
+        BatchExecution(dispatch, link, frame, lambda: None).start()
         assert not dispatch.played
         assert link.frames == [
             BatchFailure(1, "s", Verdict.NOT_SENT.value, 0, "searcher_not_in_service")
@@ -171,7 +171,7 @@
 
 
 class FakeEngine:
-    versions = VersionBook()
+    versions = CurrentVersion()
 
 
 def catalog_of(dispatch: EvacuatingDispatch) -> Catalog:
@@ -188,41 +188,43 @@
         return catalog_of(dispatch)
 
     def test_evacuations_come_and_go_with_news(self, dispatch, catalog):
-        catalog.take_evacuations(EvacuationNews(None, 7, [Evacuation("a")], []))
+        catalog.apply_evacuations(EvacuationUpdate(None, 7, [Evacuation("a")], []))
         assert dispatch.fleet.evacuated == {"a"}
-        catalog.take_evacuations(EvacuationNews(7, 9, [Evacuation("b")], ["a"]))
+        catalog.apply_evacuations(EvacuationUpdate(7, 9, [Evacuation("b")], ["a"]))
         assert dispatch.fleet.evacuated == {"b"}
 
     def test_older_news_change_nothing(self, dispatch, catalog):
         """Guards against a restored domain that an old word from a peer evacuates again."""
-        catalog.take_evacuations(EvacuationNews(None, 7, [Evacuation("a")], []))
-        catalog.take_evacuations(EvacuationNews(None, 9, [], []))
-        catalog.take_evacuations(EvacuationNews(None, 8, [Evacuation("a")], []))
+        catalog.apply_evacuations(EvacuationUpdate(None, 7, [Evacuation("a")], []))
+        catalog.apply_evacuations(EvacuationUpdate(None, 9, [], []))
+        catalog.apply_evacuations(EvacuationUpdate(None, 8, [Evacuation("a")], []))
         assert dispatch.fleet.evacuated == set()
 
     def test_one_that_the_stores_older_copy_lacks_holds_until_it_could_be_written_again(
         self, dispatch, catalog
     ):
         """Guards against requests to an evacuated domain after the store has lost the order."""
-        catalog.take_evacuations(EvacuationNews(None, 7, [Evacuation("a"), Evacuation("b")], [], 1))
-        catalog.take_evacuations(EvacuationNews(None, 5, [], [], 2))
+        catalog.apply_evacuations(
+            EvacuationUpdate(None, 7, [Evacuation("a"), Evacuation("b")], [], 1)
+        )
+        catalog.apply_evacuations(EvacuationUpdate(None, 5, [], [], 2))
         assert dispatch.fleet.evacuated == {"a", "b"}
-        catalog.take_evacuations(EvacuationNews(5, 6, [Evacuation("a")], [], 2))
-        catalog.tick(dispatch.loop.time() + RETURN_SECONDS)
+        catalog.apply_evacuations(EvacuationUpdate(5, 6, [Evacuation("a")], [], 2))
+        catalog.tick(dispatch.loop.time() + REWRITE_GRACE_SECONDS)
         assert dispatch.fleet.evacuated == {"a"}
 
     def test_that_there_are_none_is_news_too(self, catalog):
         """Guards against each starting instance listing the store for what its peers know."""
         nobody = catalog_of(EvacuatingDispatch())
-        catalog.take_evacuations(EvacuationNews(None, 7, [], []))
+        catalog.apply_evacuations(EvacuationUpdate(None, 7, [], []))
         assert catalog.known.is_ahead_of(nobody.known_up_to)
-        nobody.take_evacuations(catalog.evacuations_since(NOTHING_KNOWN))
+        nobody.apply_evacuations(catalog.evacuations_since(NOTHING_KNOWN))
         assert not catalog.known.is_ahead_of(nobody.known_up_to)
 
     def test_searchers_that_are_heard_of_later_are_not_used_there(self, dispatch, catalog):
-        catalog.take_evacuations(EvacuationNews(None, 7, [Evacuation("a")], []))
+        catalog.apply_evacuations(EvacuationUpdate(None, 7, [Evacuation("a")], []))
         one = Searcher("i-a", "s", "10.0.0.1:80", "a", 2)
-        catalog.take_searchers(SearcherNews(None, 8, [one], []))
+        catalog.apply_searchers(SearcherUpdate(None, 8, [one], []))
         assert dispatch.fleet.choose("s", 100.0, USUAL) is None
 
 
@@ -230,7 +232,7 @@
     def test_they_count_as_cold(self):
         """Guards against all instances sending the usual load to searchers that are cold now."""
         fleet = fleet_of("a")
-        fleet.use_limits({"s": ServiceLimits(54, cold_seconds=3.0, cold_rate=2.0)})
+        fleet.apply_cold_start_limits({"s": ServiceLimits(54, cold_seconds=3.0, cold_rate=2.0)})
         fleet.share_among(4.0)
         fleet.evacuate("a")
         fleet.restore("a", 10.0)
--- a/tests/unit/engine/test_followers.py
+++ b/tests/unit/engine/test_followers.py
@@ -10,7 +10,7 @@
     RESTART_SECONDS,
     StoreFollower,
 )
-from limpethollow_policy.process.beliefs import Belief
+from limpethollow_policy.process.objectcaches import ObjectCache
 from limpethollow_policy.process.placements import Instance
 from limpethollow_policy.process.revisions import Revision
 from limpethollow_policy.process.topology import WatchRole, relays_among
@@ -51,7 +51,7 @@
     """Has listed some instances."""
 
     def __init__(self, *listed: Instance) -> None:
-        self.instances = Belief(lambda instance: None, lambda name: None)
+        self.instances = ObjectCache(lambda instance: None, lambda name: None)
         self.instances.replace({instance.name: instance for instance in listed}, Revision(1, 7))
 
 
@@ -76,7 +76,7 @@
 def follower(name: str, roster=FakeRoster) -> tuple[StoreFollower, FakeFeed, FakeHealth]:
     feed, health = FakeFeed(), FakeHealth()
     role = WatchRole(name, Random(1))
-    role.relay_heard(RELAY, 99.5)
+    role.relay_message_received(RELAY, 99.5)
     made = StoreFollower(feed, [], health, role, roster(), FakeCatalog(), FakePeers(), FakeEntry())
     return made, feed, health
 
--- a/tests/unit/engine/test_peers.py
+++ b/tests/unit/engine/test_peers.py
@@ -8,7 +8,7 @@
 from limpethollow_node.engine.process.quarantines import Quarantines
 from limpethollow_node.engine.process.roster import Roster
 from limpethollow_node.process.metrics import Metrics
-from limpethollow_policy.process.catchups import Known, Source
+from limpethollow_policy.process.catchups import KnownState, Source
 from limpethollow_policy.process.placements import Instance
 from limpethollow_policy.process.topology import (
     HEARTBEAT_SECONDS,
@@ -33,7 +33,7 @@
 
 
 class FakeCatalog:
-    known = Known()
+    known = KnownState()
 
 
 class FakeLink:
@@ -42,7 +42,7 @@
     def __init__(self, instance: Instance, own_domain: str) -> None:
         self.name = instance.name
         self.source = Source(far=instance.failure_domain != own_domain)
-        self.beat_due = 0.0
+        self.heartbeat_due = 0.0
         self.ready = True
         self.beats: list[Heartbeat] = []
 
@@ -89,7 +89,7 @@
             for turn in range(times):
                 moment = now + turn * HEARTBEAT_SECONDS
                 asyncio.get_running_loop().time = lambda at=moment: at
-                self.peers._beat(moment)
+                self.peers._run_cycle(moment)
 
         asyncio.run(run())
 
--- a/tests/unit/engine/test_shedding.py
+++ b/tests/unit/engine/test_shedding.py
@@ -4,7 +4,7 @@
 
 from limpethollow_policy.process.arrivals import Arrivals
 from limpethollow_policy.process.shedding import LoadShedder, congestion, is_congested
-from limpethollow_policy.process.singles import SingleShedder
+from limpethollow_policy.process.singleshedding import SingleShedder
 
 OBJECTIVE = 0.1
 
@@ -249,13 +249,13 @@
             arrivals.add(100.0 + number / 10, admitted=True)
         for number in range(30):
             arrivals.add(101.0 + number / 100, admitted=True)
-        assert arrivals.highest_admitted(101.3) > 90
+        assert arrivals.peak_admitted_rate(101.3) > 90
 
     def test_single_arrivals_are_no_high_rate(self):
         arrivals = Arrivals()
         for second in range(10):
             arrivals.add(100.0 + second, admitted=True)
-        assert arrivals.highest_admitted(109.0) < 2.0
+        assert arrivals.peak_admitted_rate(109.0) < 2.0
         assert arrivals.rate(109.0) < 2.0
 
     def test_the_usual_rate_is_known_after_some_seconds_and_outlasts_a_burst(self):
