--- a/packages/limpethollow-wire/src/limpethollow_wire/__init__.py
+++ b/packages/limpethollow-wire/src/limpethollow_wire/__init__.py
@@ -1,1 +1,1 @@
-"""Messages, codecs, settings and errors that all limpethollow processes share."""
+"""Messages, codecs, settings and exceptions shared by all limpethollow processes."""
--- a/packages/limpethollow-wire/src/limpethollow_wire/bookings.py
+++ b/packages/limpethollow-wire/src/limpethollow_wire/bookings.py
@@ -1,4 +1,4 @@
-"""Messages of a booking: token, request, outcome."""
+"""Booking messages: tokens, requests and outcomes."""
 
 from enum import StrEnum
 from hashlib import blake2b
@@ -11,25 +11,25 @@
 
 _SEPARATOR = "."
 _RUN_SEPARATOR = "-"
-_PARTS = 4
+_TOKEN_PARTS = 4
 _RUN_PARTS = 3
 _DIGEST_BYTES = 16
-_REMEDY = "Take 'token_prefix' from a route answer and add '.<shard>.<nonce>' to it."
+_REMEDY = "Append '.<shard>.<nonce>' to the 'token_prefix' of a route answer."
 
 
 class BookingToken(msgspec.Struct, frozen=True):
-    """Names one booking, the only process that may dispatch it, and where it may be dispatched.
+    """Identifies a booking, the only process that may dispatch it, and its allowed searchers.
 
-    The text form is `instance.incarnation-period-placement.shard.nonce`. A route answer gives the
-    first two parts as a whole; the caller adds the shard and a nonce.
+    The text form is `instance.incarnation-period-placement.shard.nonce`. A route answer
+    contains the first two parts as one prefix; the caller appends the shard and a nonce.
 
     Attributes:
-        instance: Id of the executing instance.
-        incarnation: The one run of that instance that may dispatch.
-        period: Issue period of that run; unseen tokens of old periods are never dispatched.
-        placement: Digest of the service's searchers; only these may ever get the token.
-        shard: Shard that holds what is booked.
-        nonce: Chosen by the caller, unique for each booking.
+        instance: Id of the instance that executes the booking.
+        incarnation: The only run of that instance that may dispatch the booking.
+        period: Issue period within that run; new tokens of expired periods are never dispatched.
+        placement: Digest of the set of searchers to which the token may be sent.
+        shard: Shard that holds the booked item.
+        nonce: Chosen by the caller, unique per booking.
     """
 
     instance: str
@@ -44,54 +44,54 @@
 
     @property
     def prefix(self) -> str:
-        """The parts that a route answer gives."""
+        """The part of the token that a route answer contains."""
         return token_prefix(self.instance, self.incarnation, self.period, self.placement)
 
     @classmethod
     def parse(cls, text: str) -> "BookingToken":
-        """Read the text form.
+        """Parse the text form.
 
         Raises:
-            BadRequest: The text is not a token.
+            BadRequest: The text is not a valid token.
         """
         parts = text.split(_SEPARATOR)
-        if len(text) > MAX_TOKEN_LENGTH or len(parts) != _PARTS or not all(parts):
-            raise _not_a_token()
+        if len(text) > MAX_TOKEN_LENGTH or len(parts) != _TOKEN_PARTS or not all(parts):
+            raise _malformed_token_error()
         instance, run, shard, nonce = parts
         run_parts = run.split(_RUN_SEPARATOR)
         if len(run_parts) != _RUN_PARTS or not all(run_parts):
-            raise _not_a_token()
+            raise _malformed_token_error()
         incarnation, period, placement = run_parts
         if not (_is_number(period) and _is_number(shard)):
-            raise _not_a_token()
+            raise _malformed_token_error()
         return cls(instance, incarnation, int(period), placement, int(shard), nonce)
 
 
 def token_prefix(instance: str, incarnation: str, period: int, placement: str) -> str:
-    """Return the first two parts of the tokens that one run issues now for one service."""
+    """Return the prefix of the tokens that a run currently issues for a service."""
     run = _RUN_SEPARATOR.join((incarnation, str(period), placement))
     return f"{instance}{_SEPARATOR}{run}"
 
 
 def _is_number(text: str) -> bool:
-    """Return whether the text is a number in its only form, so that a token has one spelling."""
+    """Return whether the text is a number in canonical form, so that token spelling is unique."""
     return text.isascii() and text.isdigit() and str(int(text)) == text
 
 
-def _not_a_token() -> BadRequest:
+def _malformed_token_error() -> BadRequest:
     form = "instance.incarnation-period-placement.shard.nonce"
-    return BadRequest(f"The booking token is not of the form {form}.", remedy=_REMEDY)
+    return BadRequest(f"The booking token does not have the form {form}.", remedy=_REMEDY)
 
 
 class OutcomeState(StrEnum):
-    """What is known of a booking.
+    """State of a booking.
 
     Attributes:
-        BOOKED: It ran, once. Final.
-        REJECTED: The searcher ran it and turned it down. Final.
-        NOT_RUN: Proof exists that it did not run and never will under its token. Final.
-        IN_FLIGHT: Its dispatch is not over yet.
-        UNKNOWN: It may or may not have run, or may yet run.
+        BOOKED: It was run exactly once. Final.
+        REJECTED: The searcher ran and rejected it. Final.
+        NOT_RUN: It provably was not run and never will be under its token. Final.
+        IN_FLIGHT: Its dispatch has not finished.
+        UNKNOWN: It may have been run, or may still be run.
     """
 
     BOOKED = "booked"
@@ -102,18 +102,18 @@
 
     @property
     def is_final(self) -> bool:
-        """Whether the answer never changes any more."""
+        """Whether the state can no longer change."""
         return self not in (OutcomeState.IN_FLIGHT, OutcomeState.UNKNOWN)
 
 
 class BookingRequest(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A caller's booking.
+    """A booking request from a caller.
 
     Attributes:
         token: Text form of the booking's token.
-        shard: Shard that holds what is booked.
-        booking: Handed to the searcher unread.
-        deadline: Seconds the caller waits, None for the service's own.
+        shard: Shard that holds the booked item.
+        booking: Opaque payload, passed to the searcher unchanged.
+        deadline: Seconds that the caller waits; None uses the service's default.
     """
 
     token: str
@@ -123,15 +123,15 @@
 
 
 class BookingOutcome(msgspec.Struct, frozen=True):
-    """What is known of a booking, true whenever it is said.
+    """The known outcome of a booking, correct at the time it is reported.
 
     Attributes:
         token: Text form of the booking's token.
-        state: What is known.
-        result: The searcher's word where it ran.
-        visible_version: Index version in which searches see it, 0 where not known.
-        retry_after: Seconds after which to ask again, or to book anew with a new token.
-        reason: Why it was not run or is not known, empty where it ran.
+        state: State of the booking.
+        result: Result from the searcher if it was run.
+        visible_version: First index version in which searches see it, 0 if unknown.
+        retry_after: Seconds after which to look it up again, or to book with a new token.
+        reason: Why it was not run or is unknown; empty if it was run.
     """
 
     token: str
@@ -142,11 +142,11 @@
     reason: str = ""
 
     def require_run(self) -> "BookingOutcome":
-        """Return the outcome of a booking that the searcher ran.
+        """Return this outcome if the searcher ran the booking, and raise otherwise.
 
         Raises:
             NotRun: It was not run and never will be under this token.
-            OutcomeUnknown: It may have run, or may yet run.
+            OutcomeUnknown: It may have been run, or may still be run.
         """
         details = {"token": self.token, "state": self.state.value, "reason": self.reason}
         if self.state is OutcomeState.NOT_RUN:
@@ -159,7 +159,7 @@
 
 
 class ForwardedBooking(msgspec.Struct, frozen=True):
-    """A booking on its way to the instance that its token names."""
+    """A booking that is forwarded to the instance named by its token."""
 
     service: str
     firm: str
@@ -168,7 +168,7 @@
 
     @property
     def fingerprint(self) -> bytes:
-        """Digest of everything that a second booking under the same token must share."""
+        """Digest of everything that must be equal in repeated requests with the same token."""
         request = self.request
         content = (self.service, self.firm, request.shard, request.booking)
         data = msgspec.json.encode(content, order="sorted")
@@ -176,12 +176,12 @@
 
     @property
     def owner(self) -> bytes:
-        """Digest of the service and the firm, which a look-up must share."""
+        """Digest of the service and firm, which must match for a look-up."""
         return owner_digest(self.service, self.firm)
 
 
 class OutcomeQuestion(msgspec.Struct, frozen=True):
-    """Asks the instance that a token names what became of the booking."""
+    """Requests a booking's outcome from the instance named by its token."""
 
     service: str
     firm: str
@@ -189,7 +189,7 @@
 
     @property
     def owner(self) -> bytes:
-        """Digest of the service and the firm, which the booking must share."""
+        """Digest of the service and firm, which must match those of the booking."""
         return owner_digest(self.service, self.firm)
 
 
@@ -200,7 +200,7 @@
 
 
 class SearcherBooking(msgspec.Struct, frozen=True):
-    """The body of a booking sent to a searcher."""
+    """Request body of a booking sent to a searcher."""
 
     token: str
     service: str
@@ -210,14 +210,14 @@
 
 
 class SearcherBookingReply(msgspec.Struct, frozen=True):
-    """A searcher's word on a booking.
+    """A searcher's reply to a booking or a look-up.
 
     Attributes:
-        token: Echo of the token.
-        state: `done`, `rejected`, `running`, `voided` (never started, and never will be)
-            or `unknown` (no record, which proves nothing).
-        result: The booking's result where it ran.
-        visible_version: Index version in which searches see it.
+        token: Token of the request.
+        state: `done`, `rejected`, `running`, `voided` (never started and never will be)
+            or `unknown` (no record, which is no proof that it was not run).
+        result: The booking's result if it was run.
+        visible_version: First index version in which searches see it.
     """
 
     token: str
--- a/packages/limpethollow-wire/src/limpethollow_wire/codecs.py
+++ b/packages/limpethollow-wire/src/limpethollow_wire/codecs.py
@@ -1,4 +1,4 @@
-"""JSON and CBOR codecs with bounds on size and nesting, and typed messages on top."""
+"""JSON and CBOR codecs for typed messages, with limits on size and nesting depth."""
 
 import io
 from typing import Any, TypeVar
@@ -17,28 +17,29 @@
     return msgspec.json.encode(value)
 
 
-def from_json(data: bytes, kind: type[T], limit: int = MAX_BODY_BYTES) -> T:
+def from_json(data: bytes, message_type: type[T], limit: int = MAX_BODY_BYTES) -> T:
     """Decode JSON into a typed message.
 
     Args:
         data: The encoded body.
-        kind: The message class wanted.
-        limit: Upper bound in bytes.
+        message_type: The message class to decode into.
+        limit: Maximum size in bytes.
 
     Raises:
-        TooLarge: The body is over its bound.
-        BadRequest: The body is not JSON or has wrong types; the message names the place.
+        TooLarge: The body exceeds the limit.
+        BadRequest: The body is not valid JSON or a field has the wrong type; the message says
+            where.
     """
     if len(data) > limit:
-        raise TooLarge(f"The body has {len(data)} bytes; {limit} are allowed.")
+        raise TooLarge(f"The body has {len(data)} bytes; at most {limit} are allowed.")
     try:
-        return msgspec.json.decode(data, type=kind)
+        return msgspec.json.decode(data, type=message_type)
     except RecursionError:
         raise BadRequest("The body is nested too deeply.") from None
     except msgspec.ValidationError as error:
-        raise BadRequest(f"The body has a wrong field: {error}.") from None
+        raise BadRequest(f"The body has an invalid field: {error}.") from None
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise BadRequest(f"The body is not JSON: {error}.") from None
+        raise BadRequest(f"The body is not valid JSON: {error}.") from None
 
 
 def to_cbor(value: Any) -> bytes:
@@ -51,35 +52,35 @@
 
     Args:
         data: The encoded frame.
-        limit: Upper bound in bytes.
+        limit: Maximum size in bytes.
 
     Raises:
-        TooLarge: The frame is over its bound.
-        BadRequest: The frame is not CBOR, or nested deeper than `MAX_NESTING`.
+        TooLarge: The frame exceeds the limit.
+        BadRequest: The frame is not valid CBOR, or is nested deeper than `MAX_NESTING`.
     """
     if len(data) > limit:
-        raise TooLarge(f"The frame has {len(data)} bytes; {limit} are allowed.")
+        raise TooLarge(f"The frame has {len(data)} bytes; at most {limit} are allowed.")
     stream = io.BytesIO(data)
     try:
         value = cbor2.CBORDecoder(stream, max_depth=MAX_NESTING).decode()
     except Exception as error:
-        # A decoder fed by a faulty peer raises many kinds; each means the same: not our frame.
-        raise BadRequest(f"The frame is not CBOR: {error}.") from None
+        # Malformed input makes the decoder raise many exception types; all mean an invalid frame.
+        raise BadRequest(f"The frame is not valid CBOR: {error}.") from None
     return value
 
 
-def convert(value: Any, kind: type[T]) -> T:
-    """Turn plain values into a typed message.
+def convert(value: Any, message_type: type[T]) -> T:
+    """Convert plain values to a typed message.
 
     Raises:
         BadRequest: A field is missing or has the wrong type; the message names it.
     """
     try:
-        return msgspec.convert(value, kind)
+        return msgspec.convert(value, message_type)
     except msgspec.ValidationError as error:
-        raise BadRequest(f"The message has a wrong field: {error}.") from None
+        raise BadRequest(f"The message has an invalid field: {error}.") from None
 
 
 def to_plain(value: Any) -> Any:
-    """Turn a typed message into plain maps, lists and scalars."""
+    """Convert a typed message to plain dictionaries, lists and scalars."""
     return msgspec.to_builtins(value)
--- a/packages/limpethollow-wire/src/limpethollow_wire/exceptions.py
+++ b/packages/limpethollow-wire/src/limpethollow_wire/exceptions.py
@@ -1,51 +1,51 @@
-"""The exception tree of limpethollow.
+"""The exception hierarchy of limpethollow.
 
-Every error that can cross a process boundary is a kind registered here under a stable code. A
-receiver rebuilds the same kind from that code, so a caller three hops away catches the class that
-the owner raised.
+Every error that can cross a process boundary is registered here under a stable code. The receiver
+recreates the class from that code, so that a caller several hops away catches the same exception
+class that the owner raised.
 """
 
 from collections.abc import Callable
 from typing import Any
 
-_KINDS: dict[str, type["LimpethollowError"]] = {}
+_ERRORS_BY_CODE: dict[str, type["LimpethollowError"]] = {}
 
 
 def error_kind(
     code: str, status: int
 ) -> Callable[[type["LimpethollowError"]], type["LimpethollowError"]]:
-    """Register an exception class under its wire code and HTTP status.
+    """Register an exception class with its wire code and HTTP status.
 
     Args:
-        code: Stable name of the kind in JSON and CBOR bodies.
-        status: HTTP status that carries the kind.
+        code: Stable identifier of the error in JSON and CBOR bodies.
+        status: HTTP status of responses with this error.
 
     Returns:
         A class decorator.
     """
 
-    def register(kind: type["LimpethollowError"]) -> type["LimpethollowError"]:
-        kind.code = code
-        kind.status = status
-        _KINDS[code] = kind
-        return kind
+    def register(error_class: type["LimpethollowError"]) -> type["LimpethollowError"]:
+        error_class.code = code
+        error_class.status = status
+        _ERRORS_BY_CODE[code] = error_class
+        return error_class
 
     return register
 
 
 class LimpethollowError(Exception):
-    """Base of every error that limpethollow raises.
+    """Base class of all limpethollow errors.
 
     Args:
         message: What went wrong.
-        remedy: What the reader can do about it; the kind's own remedy where left out.
-        retry_after: Seconds after which another try makes sense, None where none does.
-        details: Further facts for programs, such as the coverage that was reached.
+        remedy: What the user can do about it; defaults to the remedy of the class.
+        retry_after: Seconds after which to retry, None if a retry is pointless.
+        details: Additional machine-readable data, such as the coverage reached.
     """
 
     code = "internal"
     status = 500
-    remedy = "Look for the event with this request's id in the instance's log."
+    remedy = "Search the instance's log for the id of this request."
 
     def __init__(
         self,
@@ -65,7 +65,7 @@
         return f"{self.message} {self.remedy}"
 
     def to_body(self) -> dict[str, Any]:
-        """Return the error as the plain map that JSON and CBOR bodies carry."""
+        """Return the error as the dictionary used in JSON and CBOR bodies."""
         return {
             "code": self.code,
             "message": self.message,
@@ -76,21 +76,21 @@
 
 
 def error_from_body(body: Any) -> LimpethollowError:
-    """Rebuild the typed error that another process described.
+    """Recreate an exception from the error body of another process.
 
     Args:
-        body: The map made by `LimpethollowError.to_body`; anything else gives a plain error.
+        body: The result of `LimpethollowError.to_body`; any other type gives a base error.
 
     Returns:
-        An instance of the registered kind, or of the base where the code is not known.
+        An instance of the registered class, or of the base class if the code is unknown.
     """
     if not isinstance(body, dict):
-        return LimpethollowError("Another process answered with an error that can't be read.")
-    kind = _KINDS.get(str(body.get("code")), LimpethollowError)
+        return LimpethollowError("Another process returned an error that can't be decoded.")
+    error_class = _ERRORS_BY_CODE.get(str(body.get("code")), LimpethollowError)
     retry_after = body.get("retry_after")
     details = body.get("details")
-    return kind(
-        str(body.get("message", "No message was given.")),
+    return error_class(
+        str(body.get("message", "No error message was given.")),
         remedy=str(body["remedy"]) if body.get("remedy") else None,
         retry_after=float(retry_after) if isinstance(retry_after, int | float) else None,
         details=details if isinstance(details, dict) else None,
@@ -99,40 +99,40 @@
 
 @error_kind("internal", 500)
 class InternalError(LimpethollowError, RuntimeError):
-    """A defect of limpethollow itself."""
+    """An internal error caused by a bug in limpethollow."""
 
 
 @error_kind("bad_request", 400)
 class BadRequest(LimpethollowError, ValueError):
-    """The request can't be understood; it was not run."""
+    """The request is invalid; it was not run."""
 
-    remedy = "Correct the request as the message says and send it again."
+    remedy = "Correct the request as described and send it again."
 
 
 @error_kind("too_large", 413)
 class TooLarge(BadRequest):
-    """A body, list or frame is over its bound; the request was not run."""
+    """A body, list or frame exceeds its limit; the request was not run."""
 
     remedy = "Send less in one request."
 
 
 @error_kind("headers_too_large", 431)
 class HeadersTooLarge(BadRequest):
-    """The request line and headers are over their bound; the request was not run."""
+    """The request line and headers exceed their limit; the request was not run."""
 
     remedy = "Send fewer or shorter headers."
 
 
 @error_kind("bad_framing", 400)
 class BadFraming(BadRequest):
-    """The length of the body can't be told; the request was not run."""
+    """The length of the body can't be determined; the request was not run."""
 
-    remedy = "Send the body with a Content-Length in digits."
+    remedy = "Send the body with a decimal Content-Length."
 
 
 @error_kind("slow_sender", 408)
 class SlowSender(BadRequest, TimeoutError):
-    """The request's bytes came too slowly; it was not run."""
+    """The request arrived too slowly; it was not run."""
 
     remedy = "Send the whole request within a few seconds."
 
@@ -141,26 +141,26 @@
 class Unauthorized(LimpethollowError, PermissionError):
     """The key is missing or wrong; the request was not run."""
 
-    remedy = "Send a key of this listener as 'Authorization: Bearer <key>'."
+    remedy = "Send a key that is valid for this listener as 'Authorization: Bearer <key>'."
 
 
 @error_kind("unknown_service", 404)
 class UnknownService(LimpethollowError, LookupError):
-    """No service of this name is in force here."""
+    """This instance has no active configuration for a service of this name."""
 
     remedy = "Check the name with 'limpethollow services'."
 
 
 @error_kind("not_found", 404)
 class NotFound(LimpethollowError, LookupError):
-    """The path, plan or token is not known here."""
+    """The path, plan or token is unknown to this instance."""
 
     remedy = "Check the name and the path."
 
 
 @error_kind("method_not_allowed", 405)
 class MethodNotAllowed(BadRequest):
-    """The path can't be used with this method; the request was not run."""
+    """The path does not support this method; the request was not run."""
 
 
 @error_kind("deadline_passed", 408)
@@ -172,97 +172,97 @@
 
 @error_kind("overloaded", 429)
 class Overloaded(LimpethollowError, ConnectionError):
-    """The service has no room for the request now; it was not run."""
+    """The service has no capacity for the request at present; it was not run."""
 
-    remedy = "Come back after retry_after seconds."
+    remedy = "Retry after retry_after seconds."
 
 
 @error_kind("instance_busy", 503)
 class InstanceBusy(LimpethollowError, ConnectionError):
-    """This one instance has no room; the request was not run, and another instance may take it."""
+    """This instance has no capacity; the request was not run, and others may accept it."""
 
-    remedy = "Send it to another instance, or come back after retry_after seconds."
+    remedy = "Send it to another instance, or retry after retry_after seconds."
 
 
 @error_kind("unavailable", 503)
 class Unavailable(LimpethollowError, ConnectionError):
-    """Nothing that could serve the request can be reached; it was not run."""
+    """No server for the request can be reached; it was not run."""
 
-    remedy = "Come back after retry_after seconds."
+    remedy = "Retry after retry_after seconds."
 
 
 @error_kind("quarantined", 503)
 class Quarantined(Unavailable):
-    """Searchers ended under earlier tries of this very request; this one was not run."""
+    """Earlier attempts of the same request crashed searchers; this one was not run."""
 
-    remedy = "Change the request, or ask the operator to release it once the searchers are mended."
+    remedy = "Change the request, or ask the operator to release it after fixing the searchers."
 
 
 @error_kind("coverage_too_low", 503)
 class CoverageTooLow(LimpethollowError, TimeoutError):
-    """Fewer shards answered in time than the service's coverage floor allows."""
+    """Fewer shards answered in time than the service's coverage floor requires."""
 
-    remedy = "Come back after retry_after seconds, or allow a longer deadline."
+    remedy = "Retry after retry_after seconds, or use a longer deadline."
 
 
 @error_kind("no_usable_reply", 502)
 class NoUsableReply(LimpethollowError, ConnectionError):
-    """Searchers were asked and gave no usable reply; the request may have run."""
+    """Searchers were called but gave no usable reply; the request may have run."""
 
     remedy = "Repeat an idempotent request after retry_after seconds; look up any other first."
 
 
 @error_kind("answer_late", 504)
 class AnswerLate(LimpethollowError, TimeoutError):
-    """The time for an answer is over; the request may have run."""
+    """The request was not answered in time; it may have run."""
 
     remedy = "Repeat an idempotent request; look up any other first."
 
 
 @error_kind("no_route", 404)
 class NoRoute(NotFound):
-    """No route of the configuration in force takes this host and path."""
+    """No route of the active configuration matches this host and path."""
 
-    remedy = "Check the host and the path with the operator."
+    remedy = "Check the host and path with the operator."
 
 
 @error_kind("version_gone", 409)
 class VersionGone(LimpethollowError, LookupError):
-    """No usable set of replicas serves the wanted snapshot any more, or yet."""
+    """No usable set of replicas serves the requested snapshot, either no longer or not yet."""
 
     remedy = "Send the search again without a pinned version."
 
 
 @error_kind("not_run", 409)
 class NotRun(LimpethollowError):
-    """Proof exists that the booking was not run and will not be run under its token."""
+    """The booking provably was not run and never will be under its token."""
 
     remedy = "Book again with a new token."
 
 
 @error_kind("token_reused", 409)
 class TokenReused(LimpethollowError, ValueError):
-    """The token belongs to another booking; this request was not run."""
+    """The token was used for a different booking; this request was not run."""
 
-    remedy = "Make a new token for each booking."
+    remedy = "Create a new token for each booking."
 
 
 @error_kind("outcome_unknown", 504)
 class OutcomeUnknown(LimpethollowError, TimeoutError):
     """The booking may or may not have been run."""
 
-    remedy = "Look the token up after retry_after seconds; don't book again before."
+    remedy = "Look the token up after retry_after seconds before booking again."
 
 
 @error_kind("conflict", 409)
 class Conflict(LimpethollowError):
-    """The plan's base is no longer the version in force; nothing was changed."""
+    """The plan's base version is no longer the active version; nothing was changed."""
 
     remedy = "Plan again and confirm the new plan."
 
 
 @error_kind("settings", 400)
 class SettingsError(LimpethollowError, ValueError):
-    """A settings file has a mistake."""
+    """A settings file is missing or invalid."""
 
-    remedy = "Correct the key that the message names."
+    remedy = "Correct the setting named in the message."
--- a/packages/limpethollow-wire/src/limpethollow_wire/instances.py
+++ b/packages/limpethollow-wire/src/limpethollow_wire/instances.py
@@ -1,14 +1,14 @@
-"""Messages about instances: the platform's list, routes, and what peers say of themselves."""
+"""Messages about instances: the platform's list, routes and reported status."""
 
 import msgspec
 
 
 class InstanceInfo(msgspec.Struct, frozen=True):
-    """One instance in the platform's lagging list.
+    """An entry of the platform's instance list, which may be out of date.
 
     Attributes:
-        id: Name of the instance.
-        failure_domain: Where it runs.
+        id: Id of the instance.
+        failure_domain: Failure domain in which it runs.
         address: `host:port` for callers.
         peer_address: `host:port` for other instances.
         operator_address: `host:port` for operators.
@@ -24,19 +24,24 @@
 
 
 class SearcherListing(msgspec.Struct, frozen=True):
-    """One searcher in the platform's lagging list: `live` or `leaving`."""
+    """An entry of the platform's searcher list, which may be out of date.
+
+    Attributes:
+        address: `host:port` of the searcher.
+        state: `live` or `leaving`.
+    """
 
     address: str
     state: str = "live"
 
 
 class InstanceList(msgspec.Struct, frozen=True):
-    """The platform's list of instances; searchers are in it where the platform runs them.
+    """The platform's list of instances, and of the searchers that the platform runs.
 
     Attributes:
-        revision: Its revision, which orders lists of all eras.
-        instances: The instances.
-        searchers: The searchers.
+        revision: Revision of the list; comparable across eras.
+        instances: All listed instances.
+        searchers: All listed searchers; empty if the platform does not run them.
     """
 
     revision: int
@@ -45,15 +50,15 @@
 
 
 class RouteInstance(msgspec.Struct, frozen=True):
-    """One address in a route answer.
+    """An instance in a route answer.
 
     Attributes:
-        id: Name of the instance.
+        id: Id of the instance.
         address: `host:port` for callers.
-        failure_domain: Where it runs.
-        incarnation: Its current run; empty where not known.
-        token_prefix: First parts of the booking tokens that it executes now; empty where its run
-            is not known.
+        failure_domain: Failure domain in which it runs.
+        incarnation: Its current run; empty if unknown.
+        token_prefix: Prefix of the booking tokens that it currently executes; empty if its run
+            is unknown.
     """
 
     id: str
@@ -64,12 +69,12 @@
 
 
 class Route(msgspec.Struct, frozen=True):
-    """Which instances a caller should use for a service, best first.
+    """The instances that a caller should use for a service, in order of preference.
 
     Attributes:
         service: Name of the service.
-        ttl: Seconds for which the answer may be kept.
-        instances: The instances, best first.
+        ttl: Seconds for which the answer may be cached.
+        instances: The instances, most preferred first.
     """
 
     service: str
@@ -78,15 +83,15 @@
 
 
 class InstanceStatus(msgspec.Struct, frozen=True):
-    """What an instance says of itself.
+    """Status reported by an instance.
 
     Attributes:
-        id: Name of the instance.
+        id: Id of the instance.
         incarnation: Its current run.
         state: `starting`, `serving`, `leaving` or `refusing`.
-        failure_domain: Where it runs.
-        versions: Configuration version in force, by service; tombstones included.
-        peers: State of the other instances as seen from here.
+        failure_domain: Failure domain in which it runs.
+        versions: Active configuration version by service, including tombstones.
+        peers: State of each other instance as seen by this one.
     """
 
     id: str
--- a/packages/limpethollow-wire/src/limpethollow_wire/keys.py
+++ b/packages/limpethollow-wire/src/limpethollow_wire/keys.py
@@ -1,4 +1,4 @@
-"""Keys of callers, operators and peers: digests and comparison."""
+"""Digests, comparison and parsing of caller, operator and peer keys."""
 
 import hashlib
 import hmac
@@ -9,20 +9,20 @@
 
 
 def key_digest(key: str) -> str:
-    """Return the hex digest under which a caller's key is stored."""
+    """Return the hex SHA-256 digest that is stored in place of a caller's key."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
 def keys_equal(given: str, expected: str) -> bool:
-    """Compare two keys in constant time, so that timing tells nothing of the expected one."""
+    """Compare two keys in constant time to prevent timing attacks on the expected key."""
     return hmac.compare_digest(given.encode(), expected.encode())
 
 
 def bearer_key(header: str | None) -> str:
-    """Take the key out of an Authorization header.
+    """Extract the key from an Authorization header.
 
     Raises:
-        Unauthorized: There is no header, or it is not a bearer key.
+        Unauthorized: The header is missing or contains no bearer key.
     """
     if not header or not header.startswith(_BEARER):
         raise Unauthorized("The request has no bearer key.")
--- a/packages/limpethollow-wire/src/limpethollow_wire/limits.py
+++ b/packages/limpethollow-wire/src/limpethollow_wire/limits.py
@@ -1,4 +1,4 @@
-"""Upper bounds on everything that arrives from outside, in one place."""
+"""Limits on the size of all external input."""
 
 MAX_HEADER_BYTES = 16 * 1024
 MAX_BODY_BYTES = 256 * 1024
--- a/packages/limpethollow-wire/src/limpethollow_wire/peers.py
+++ b/packages/limpethollow-wire/src/limpethollow_wire/peers.py
@@ -1,4 +1,4 @@
-"""Frames and configuration messages between instances."""
+"""Frames and configuration messages exchanged between instances."""
 
 from typing import Any
 
@@ -9,15 +9,16 @@
 
 
 class Hello(msgspec.Struct, frozen=True):
-    """First frame on a link, both ways: who speaks.
+    """The first frame in each direction of a link, which identifies the sender.
 
     Attributes:
-        instance: Id of the speaker.
+        instance: Id of the sender.
         incarnation: Its current run.
-        failure_domain: Where it runs.
-        state: What it does with requests.
-        age: Seconds since this run began, from which others know its issue period of tokens.
-        address: `host:port` for callers, so that an instance the list lacks can be used.
+        failure_domain: Failure domain in which it runs.
+        state: Its service state, such as `serving`.
+        age: Seconds since this run began, from which peers compute its issue period of tokens.
+        address: `host:port` for callers, so that instances missing from the platform's list can be
+            used.
         peer_address: `host:port` for other instances.
         operator_address: `host:port` for operators.
     """
@@ -33,22 +34,22 @@
 
 
 class Leaving(msgspec.Struct, frozen=True):
-    """The sender is leaving: name it in no further route answer."""
+    """Announces that the sender is leaving and must be omitted from new route answers."""
 
     instance: str
     incarnation: str
 
 
 class DrainNotice(msgspec.Struct, frozen=True):
-    """Tells another owner of a group what is known of a leaving or returning searcher.
+    """Informs another owner of a group about a leaving or returning searcher.
 
     Attributes:
         service: Name of the service.
         group: Index of the group.
         searcher: Id of the searcher.
         draining: Whether it is leaving.
-        age: Seconds since that was said, so that a late notice does not beat newer evidence.
-        listed: Whether the platform's list says it, and not the searcher itself.
+        age: Seconds since the observation, so that a late notice doesn't override a newer one.
+        listed: Whether this comes from the platform's list instead of the searcher itself.
     """
 
     service: str
@@ -60,7 +61,7 @@
 
 
 class RouteHeld(msgspec.Struct, frozen=True):
-    """For how many seconds callers may still hold the leaving instance's address."""
+    """Seconds for which callers may still cache the address of the leaving instance."""
 
     seconds: float
 
@@ -69,10 +70,10 @@
     """One frame on a link between instances.
 
     Attributes:
-        id: Number of the request; a reply echoes it.
-        kind: Registered name of the request, empty on replies.
+        id: Number of the request; the reply repeats it.
+        kind: Registered name of the request type; empty in replies.
         body: The message.
-        error: Body of a typed error, on replies only.
+        error: Error body as made by `LimpethollowError.to_body`, in replies only.
     """
 
     id: int
@@ -82,21 +83,21 @@
 
 
 class Records(msgspec.Struct, frozen=True):
-    """Configuration records on their way from one instance to another."""
+    """Configuration records sent from one instance to another."""
 
     records: tuple[ServiceRecord, ...]
 
 
 class SyncState(msgspec.Struct, frozen=True):
-    """What one instance knows, short enough to be compared every second.
+    """Summary of an instance's configuration, small enough to be compared every second.
 
     Attributes:
         instance: Id of the sender.
-        fingerprint: Hash over name and version of every record, tombstones included.
+        fingerprint: Hash of the names and versions of all records, including tombstones.
         revision: Platform revision up to which the records are complete.
-        members: Revision of the list of instances.
-        loaded: Whether the records were ever complete.
-        relay: Whether the sender speaks as a relay of the receiver's failure domain.
+        members: Revision of the instance list.
+        loaded: Whether the records have been complete at least once.
+        relay: Whether the sender acts as a relay for the receiver's failure domain.
     """
 
     instance: str
@@ -108,17 +109,17 @@
 
 
 class Buckets(msgspec.Struct, frozen=True):
-    """Hash of the records in each bucket that is not empty, for finding where two differ."""
+    """Hash of each non-empty bucket of records, used to find where two instances differ."""
 
     hashes: dict[int, int]
 
 
 class Digest(msgspec.Struct, frozen=True):
-    """Versions by service, tombstones included, of some records.
+    """Versions by service for a subset of the records, including tombstones.
 
     Attributes:
-        versions: The versions.
-        buckets: The buckets they were taken from, where the digest answers `Buckets`.
+        versions: Version by service name.
+        buckets: The buckets covered, if this is the reply to bucket hashes.
     """
 
     versions: dict[str, int]
@@ -126,25 +127,25 @@
 
 
 class Names(msgspec.Struct, frozen=True):
-    """Names of services whose records are wanted."""
+    """Requests the records of the named services."""
 
     names: tuple[str, ...]
 
 
 class ListQuestion(msgspec.Struct, frozen=True):
-    """Asks for what changed in the list of instances since a revision."""
+    """Requests the changes to the instance list since a revision."""
 
     revision: int
 
 
 class ListChange(msgspec.Struct, frozen=True):
-    """What changed in the list of instances.
+    """Changes to the instance list.
 
     Attributes:
-        base: Revision that the change applies to; -1 where `listed` is the whole list.
-        revision: Revision reached.
-        listed: Instances that came or changed.
-        dropped: Ids of instances that went.
+        base: Revision to which the changes apply; -1 if `listed` is the complete list.
+        revision: Revision after the changes.
+        listed: Added or changed instances.
+        dropped: Ids of removed instances.
     """
 
     base: int
@@ -154,18 +155,18 @@
 
 
 class SpreadRequest(msgspec.Struct, frozen=True):
-    """Asks a relay to bring a record to its failure domain and to say who has it."""
+    """Requests that a relay distribute a record in its failure domain and report who has it."""
 
     record: ServiceRecord
 
 
 class SpreadReply(msgspec.Struct, frozen=True):
-    """The instances of a failure domain that have a record, or a newer one, in force."""
+    """The instances of a failure domain in which a record, or a newer one, is active."""
 
     in_force: tuple[str, ...]
 
 
 class Acknowledgement(msgspec.Struct, frozen=True):
-    """The receiver took the message in."""
+    """Confirms that the receiver accepted the message."""
 
     accepted: int = 0
--- a/packages/limpethollow-wire/src/limpethollow_wire/plans.py
+++ b/packages/limpethollow-wire/src/limpethollow_wire/plans.py
@@ -1,4 +1,4 @@
-"""Messages between operators and instances."""
+"""Messages between operators and instances: intents, plans and confirmations."""
 
 from typing import Literal
 
@@ -8,14 +8,14 @@
 
 
 class Intent(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What an operator wants: a service as given, or its deletion."""
+    """The change that an operator requests: a service's configuration or its deletion."""
 
     service: ServiceSpec | None = None
     delete: str = ""
 
 
 class FieldChange(msgspec.Struct, frozen=True):
-    """One field that a plan would change, old and new value as text."""
+    """A field that a plan changes, with its old and new value as text."""
 
     field: str
     old: str
@@ -23,14 +23,14 @@
 
 
 class PlanEffect(msgspec.Struct, frozen=True):
-    """What a plan would touch.
+    """The effect of a plan.
 
     Attributes:
         shards: Shards whose replicas change.
-        searchers_added: Searchers that would get traffic.
-        searchers_removed: Searchers that would get none any more.
-        connections: Connections per searcher that the system may open, all instances together.
-        extra_load: Hedged calls allowed as a share of calls.
+        searchers_added: Searchers that start to receive traffic.
+        searchers_removed: Searchers that no longer receive traffic.
+        connections: Connections per searcher that all instances together may open.
+        extra_load: Maximum share of calls that may be hedged.
     """
 
     shards: tuple[int, ...]
@@ -41,17 +41,17 @@
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """The system's answer to an intent; nothing changes until it is confirmed.
+    """The proposed change for an intent; nothing changes until it is confirmed.
 
     Attributes:
-        id: Name of the plan.
-        service: Service concerned.
-        action: What confirming would do.
-        base_version: Version the plan was made against, 0 where there was none.
-        spec: The wanted configuration, None for a deletion.
-        changes: Field by field difference.
-        effect: What it touches.
-        warnings: What the operator should think about.
+        id: Id of the plan.
+        service: Name of the affected service.
+        action: What a confirmation does.
+        base_version: Version on which the plan is based, 0 if there was none.
+        spec: The new configuration, None for a deletion.
+        changes: The fields that change.
+        effect: The shards, searchers and load affected.
+        warnings: Risks that the operator should consider.
     """
 
     id: str
@@ -65,25 +65,25 @@
 
 
 class ConfirmRequest(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Asks to carry out a plan.
+    """Requests that a plan be applied.
 
     Attributes:
-        wait: Seconds to wait for the version to be in force everywhere.
+        wait: Seconds to wait until the new version is active on all instances.
     """
 
     wait: float = 7.0
 
 
 class Confirmation(msgspec.Struct, frozen=True):
-    """What a confirm did.
+    """The result of confirming a plan.
 
     Attributes:
-        plan: Name of the plan.
-        service: Service concerned.
+        plan: Id of the plan.
+        service: Name of the affected service.
         version: Version now in the platform's store.
-        in_force: Instances that have it, or a newer version, in force.
-        lacking: Live instances that have not said so yet.
-        superseded: Whether somebody confirmed a newer version since.
+        in_force: Instances on which this or a newer version is active.
+        lacking: Live instances that have not reported this yet.
+        superseded: Whether a newer version has been confirmed since.
     """
 
     plan: str
--- a/packages/limpethollow-wire/src/limpethollow_wire/searches.py
+++ b/packages/limpethollow-wire/src/limpethollow_wire/searches.py
@@ -1,4 +1,4 @@
-"""Messages of a search: from the caller, between instances, and to a searcher."""
+"""Search messages between callers, instances and searchers."""
 
 from typing import Any
 
@@ -6,13 +6,13 @@
 
 
 class SearchRequest(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A caller's search.
+    """A search request from a caller.
 
     Attributes:
-        query: What to look for; handed to searchers unread.
-        shards: Shards wanted, None for all.
-        deadline: Seconds the caller waits, None for the service's own.
-        min_version: Index version the answer must be at least as new as.
+        query: Opaque query, passed to searchers unchanged.
+        shards: Requested shards, None for all.
+        deadline: Seconds that the caller waits; None uses the service's default.
+        min_version: Lowest index version that the answer may have.
     """
 
     query: dict[str, Any]
@@ -22,23 +22,24 @@
 
 
 class Part(msgspec.Struct, frozen=True):
-    """One shard's rows at the pinned snapshot."""
+    """The rows of one shard at the pinned snapshot."""
 
     shard: int
     rows: list[Any]
 
 
 class MissingShard(msgspec.Struct, frozen=True):
-    """A shard that the answer does not cover, and why.
+    """A shard that is missing from the answer, with the reason.
 
     Attributes:
         shard: Number of the shard.
-        reason: `deadline` or `objective`: a call was on its way when the answer was due;
-            `floor_missed`: its call was cut off because too many others were lost for an answer;
-            `no_slot`: the shard was never asked, because no slot became free; `no_replica`: no
-            searcher that holds it can be used; `version_gone`: none keeps the snapshot;
-            `refused`, `shed`, `timeout`, `broken`, `mismatched`, `failed`: the last try ended so
-            and no other was allowed; the code of an error: the shard's whole group gave it.
+        reason: `deadline` or `objective`: a call was in flight when the answer was due;
+            `floor_missed`: its call was cancelled because too many other shards had failed to
+            reach the coverage floor; `no_slot`: the shard was never called, because no slot became
+            free; `no_replica`: no searcher that holds it is usable; `version_gone`: no searcher
+            keeps the snapshot; `refused`, `shed`, `timeout`, `broken`, `mismatched`, `failed`: the
+            result of the last attempt, with no other attempt allowed; an error code: the shard's
+            whole group failed with this error.
     """
 
     shard: int
@@ -46,14 +47,14 @@
 
 
 class Coverage(msgspec.Struct, frozen=True):
-    """Which shards an answer covers, at which snapshot.
+    """The shards that an answer covers, and their snapshot.
 
     Attributes:
-        epoch: Partition epoch of every part.
-        version: Index version of every part.
-        wanted: Number of shards asked for.
-        covered: The shards answered.
-        missing: The shards not answered.
+        epoch: Partition epoch of all parts.
+        version: Index version of all parts.
+        wanted: Number of requested shards.
+        covered: Shards with an answer.
+        missing: Shards without an answer.
     """
 
     epoch: int
@@ -64,17 +65,17 @@
 
     @property
     def complete(self) -> bool:
-        """Whether every wanted shard is covered."""
+        """Whether all requested shards are covered."""
         return not self.missing
 
     @property
     def share(self) -> float:
-        """Share of the wanted shards that are covered, 0 to 1."""
+        """Share of the requested shards that are covered, 0 to 1."""
         return len(self.covered) / self.wanted if self.wanted else 1.0
 
 
 class SearchAnswer(msgspec.Struct, frozen=True):
-    """The answer to one search: rows by shard and the label of what they cover."""
+    """The answer to a search: the rows of each shard and the coverage."""
 
     request_id: str
     service: str
@@ -83,22 +84,22 @@
 
 
 class GroupSearch(msgspec.Struct, frozen=True):
-    """A search of one group's shards, sent by a coordinator to the group's owner.
+    """A search of a group's shards, sent by a coordinator to the group's owner.
 
     Attributes:
-        request_id: The caller's request.
+        request_id: Id of the caller's request.
         service: Name of the service.
         spec_version: Configuration version that the coordinator used.
         group: Index of the group.
         firm: The caller's firm or club, for fair sharing.
-        query: Handed to searchers unread.
-        shards: Shards wanted from this group.
-        budget: Seconds left.
+        query: Opaque query, passed to searchers unchanged.
+        shards: Requested shards of this group.
+        budget: Seconds until the deadline.
         min_version: Lowest index version allowed.
         pinned: Index version to use, None to let the owner choose.
-        floor: Coverage below which the owner gives no answer, None for the service's own.
+        floor: Coverage below which the owner gives no answer; None uses the service's floor.
         epoch: Partition epoch that the coordinator used.
-        answer_in: Seconds left until the service's latency objective, None where it has none.
+        answer_in: Seconds until the service's latency objective, None if it has none.
     """
 
     request_id: str
@@ -117,26 +118,26 @@
 
 
 class GroupAbandon(msgspec.Struct, frozen=True):
-    """Tells a group's owner that nobody waits any more for what a request asked of it."""
+    """Tells a group's owner that the result of a request is no longer needed."""
 
     request_id: str
 
 
 class RecordQuestion(msgspec.Struct, frozen=True):
-    """Asks an instance for the configuration of a service that it has in force."""
+    """Requests an instance's active configuration of a service."""
 
     service: str
 
 
 class GroupAnswer(msgspec.Struct, frozen=True):
-    """A group's part of an answer."""
+    """The part of an answer that comes from one group."""
 
     coverage: Coverage
     parts: tuple[Part, ...]
 
 
 class GroupVersions(msgspec.Struct, frozen=True):
-    """Asks a group's owner which index versions it can serve on all wanted shards."""
+    """Requests the index versions that a group's owner can serve on all requested shards."""
 
     service: str
     spec_version: int
@@ -149,14 +150,14 @@
 
 
 class ServableVersions(msgspec.Struct, frozen=True):
-    """Index versions that a group can serve on all wanted shards, newest first."""
+    """Index versions that a group can serve on all requested shards, newest first."""
 
     epoch: int
     versions: tuple[int, ...]
 
 
 class CallQuery(msgspec.Struct, frozen=True):
-    """One query inside a call to a searcher."""
+    """One of the queries in a call to a searcher."""
 
     id: str
     query: dict[str, Any]
@@ -164,14 +165,14 @@
 
 
 class SearcherCall(msgspec.Struct, frozen=True):
-    """The body of one call to a searcher; without queries it only asks for the inventory.
+    """Request body of a call to a searcher; without queries it only requests the inventory.
 
     Attributes:
-        request_id: Name of this call; the reply must echo it.
+        request_id: Id of this call; the reply must repeat it.
         service: Name of the service.
-        epoch: Partition epoch wanted.
-        version: Index version wanted, 0 where there are no queries.
-        timeout: Seconds after which the reply has no use.
+        epoch: Requested partition epoch.
+        version: Requested index version, 0 if there are no queries.
+        timeout: Seconds after which the reply is no longer used.
         queries: The queries, each with its shards.
     """
 
@@ -184,7 +185,7 @@
 
 
 class CallPart(msgspec.Struct, frozen=True):
-    """One shard's rows for one query in a searcher's reply."""
+    """The rows of one shard for one query in a searcher's reply."""
 
     id: str
     shard: int
@@ -193,7 +194,7 @@
 
 
 class CallError(msgspec.Struct, frozen=True):
-    """A shard that a searcher could not answer for one query."""
+    """A query that a searcher could not answer for one shard."""
 
     id: str
     shard: int
@@ -201,16 +202,16 @@
 
 
 class SearcherReply(msgspec.Struct, frozen=True):
-    """A searcher's reply.
+    """A searcher's reply to a call.
 
     Attributes:
-        request_id: Echo of the call's id.
-        service: Echo of the service.
+        request_id: Id of the call.
+        service: Name of the service, as in the call.
         epoch: The searcher's partition epoch.
-        draining: Whether the searcher wants no new work.
-        versions: Index versions kept, by shard number written as text.
-        parts: The answers.
-        errors: The shards not answered.
+        draining: Whether the searcher accepts no new work.
+        versions: Available index versions by shard; the shard numbers are strings.
+        parts: The rows of each answered query and shard.
+        errors: The failed queries and shards.
     """
 
     request_id: str
--- a/packages/limpethollow-wire/src/limpethollow_wire/services.py
+++ b/packages/limpethollow-wire/src/limpethollow_wire/services.py
@@ -1,4 +1,4 @@
-"""The configuration of one search service, as operators state it and instances keep it."""
+"""The configuration of a search service, as written by operators and stored by instances."""
 
 from typing import Literal
 
@@ -12,13 +12,13 @@
     """One searcher (backend server) of a service.
 
     Attributes:
-        id: Name, unique within the service.
+        id: Id, unique within the service.
         address: `host:port` of its HTTP listener.
-        shards: The shards it holds a replica of.
-        failure_domain: Where it runs.
-        slots: Requests it runs at once.
-        connections: Connections it accepts in total, from all instances together.
-        draining: Whether it gets no new work, whatever it says itself.
+        shards: Shards of which it holds a replica.
+        failure_domain: Failure domain in which it runs.
+        slots: Requests that it runs concurrently.
+        connections: Connections that it accepts from all instances together.
+        draining: Whether it gets no new work, regardless of the state that it reports.
     """
 
     id: str
@@ -31,14 +31,14 @@
 
 
 class Objective(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What a service's answers must reach.
+    """Latency and coverage objectives of a service.
 
     Attributes:
-        mode: `latency` answers at `latency` with what has come by then, if that meets the floor;
-            `coverage` waits for every shard until the request's deadline.
+        mode: `latency` answers after `latency` seconds with the parts received, if they meet the
+            floor; `coverage` waits for every shard until the request's deadline.
         latency: Seconds after which `latency` mode answers.
-        deadline: Seconds a request may take where the caller names none.
-        coverage_floor: Share of the wanted shards, 0 to 1, below which there is no answer.
+        deadline: Seconds that a request may take if the caller sets no deadline.
+        coverage_floor: Share of the requested shards, 0 to 1, below which the request fails.
     """
 
     mode: Literal["latency", "coverage"] = "latency"
@@ -48,12 +48,12 @@
 
 
 class HedgePolicy(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """When a second replica is asked.
+    """When a call is hedged by a second call to another replica.
 
     Attributes:
-        quantile: Latency quantile of the service after which a call is hedged.
-        budget: Hedges allowed as a share of recent calls; 0 turns hedging off.
-        minimum_delay: Seconds below which no call is hedged.
+        quantile: Quantile of the service's latency after which a call is hedged.
+        budget: Maximum hedges as a share of recent calls; 0 disables hedging.
+        minimum_delay: Minimum delay in seconds before a call is hedged.
     """
 
     quantile: float = 0.95
@@ -62,11 +62,11 @@
 
 
 class AdmissionPolicy(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How waiting requests share the searchers.
+    """How queued requests share the searchers.
 
     Attributes:
         policy: Name of a registered admission policy.
-        max_queue: Requests that may wait in one group.
+        max_queue: Maximum number of queued requests per group.
     """
 
     policy: str = "least_usage"
@@ -77,9 +77,9 @@
     """A firm or club that may call the service.
 
     Attributes:
-        firm: Its name in counters and in the sharing of capacity.
+        firm: Its name in counters and for fair sharing of capacity.
         key_sha256: Hex digest of its key; the key itself is never stored.
-        share: Weight against the other firms.
+        share: Its weight relative to the other firms.
     """
 
     firm: str
@@ -88,19 +88,19 @@
 
 
 class ServiceSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One search service: its shards, its searchers and what it must reach.
+    """A search service: its shards, searchers, callers, objectives and policies.
 
     Attributes:
         name: Lower-case name, unique on the platform.
-        epoch: Partition epoch; raised whenever shards are cut anew.
+        epoch: Partition epoch; incremented whenever the data is repartitioned into shards.
         shards: Number of shards, numbered from 0.
         owners: Active owner instances per group, 1 to 4.
-        route_ttl: Seconds for which callers keep a route answer.
-        inventory_max_age: Seconds for which a searcher's list of index versions is believed.
-        searchers_per_group: Searchers that one group may hold at most.
-        queries_per_call: Searches that one call to a busy searcher may carry; above 1 it pays only
-            where a searcher runs several in much less time than one after the other.
-        replica_choice: Name of a registered replica choice.
+        route_ttl: Seconds for which callers cache a route answer.
+        inventory_max_age: Seconds for which a searcher's list of index versions is valid.
+        searchers_per_group: Maximum number of searchers in a group.
+        queries_per_call: Maximum number of searches in one call to a busy searcher; values above 1
+            only help if a searcher runs several together in much less time than in sequence.
+        replica_choice: Name of a registered replica choice policy.
         dispatch: Name of a registered dispatch policy: `owner` sends a group's calls from its
             owner, `direct` from any instance (a baseline for measurements).
         evacuated: Failure domains whose searchers get no new work.
@@ -125,44 +125,50 @@
 
     @property
     def failure_domains(self) -> frozenset[str]:
-        """Return the failure domains in which searchers run."""
+        """The failure domains in which searchers run."""
         return frozenset(searcher.failure_domain for searcher in self.searchers)
 
     def check(self) -> None:
-        """Check what the types alone can't say.
+        """Check the constraints that the field types don't express.
 
         Raises:
             BadRequest: A value is out of range; the message names the field.
         """
-        for holds, complaint in self._rules():
-            if not holds:
-                raise BadRequest(f"Service '{self.name}': {complaint}.")
+        for valid, problem in self._rules():
+            if not valid:
+                raise BadRequest(f"Service '{self.name}': {problem}.")
 
     def _rules(self) -> list[tuple[bool, str]]:
-        held = {shard for searcher in self.searchers for shard in searcher.shards}
+        held_shards = {shard for searcher in self.searchers for shard in searcher.shards}
         ids = [searcher.id for searcher in self.searchers]
         objective = self.objective
         return [
             (0 < len(self.name) <= MAX_NAME_LENGTH, "'name' must have 1 to 64 characters"),
             (
                 self.name.replace("-", "").isalnum() and self.name == self.name.lower(),
-                "'name' may have lower-case letters, digits and '-' only",
+                "'name' may only contain lower-case letters, digits and '-'",
             ),
             (0 < self.shards <= MAX_SHARDS_PER_REQUEST, "'shards' must be 1 to 4096"),
-            (len(set(ids)) == len(ids), "'searchers' has an id twice"),
-            (held == set(range(self.shards)), "'searchers' must hold every shard, and no other"),
+            (len(set(ids)) == len(ids), "'searchers' contains a duplicate id"),
+            (
+                held_shards == set(range(self.shards)),
+                "'searchers' must hold every shard below 'shards' and no others",
+            ),
             (all(s.slots > 0 for s in self.searchers), "'slots' must be above 0"),
             (all(s.connections >= 4 for s in self.searchers), "'connections' must be 4 or more"),
             (self.epoch > 0, "'epoch' must be above 0"),
             (1 <= self.owners <= 4, "'owners' must be 1 to 4"),
             (
                 all(s.slots >= self.owners for s in self.searchers),
-                "'owners' must not be above a searcher's 'slots', which they share",
+                "'owners' must not be above a searcher's 'slots', which the owners share",
+            ),
+            (
+                0 < objective.latency <= objective.deadline,
+                "'latency' must be above 0 and at most 'deadline'",
             ),
-            (0 < objective.latency <= objective.deadline, "'latency' must be within 'deadline'"),
             (0 <= objective.coverage_floor <= 1, "'coverage_floor' must be 0 to 1"),
             (0 <= self.hedge.budget <= 1, "'hedge.budget' must be 0 to 1"),
-            (0 < self.hedge.quantile < 1, "'hedge.quantile' must be between 0 and 1"),
+            (0 < self.hedge.quantile < 1, "'hedge.quantile' must be above 0 and below 1"),
             (self.admission.max_queue > 0, "'max_queue' must be above 0"),
             (self.route_ttl > 0, "'route_ttl' must be above 0"),
             (self.inventory_max_age > 0, "'inventory_max_age' must be above 0"),
@@ -171,19 +177,19 @@
             (all(c.share > 0 for c in self.callers), "'share' must be above 0"),
             (
                 set(self.evacuated) <= self.failure_domains,
-                "'evacuated' must name failure domains of its searchers only",
+                "'evacuated' may only contain failure domains of its searchers",
             ),
         ]
 
 
 class ServiceRecord(msgspec.Struct, frozen=True):
-    """A service's configuration object as the platform holds it.
+    """A service's configuration object as stored by the platform.
 
     Attributes:
         name: The service's name.
-        version: The platform's version of the object; higher replaces lower.
+        version: The platform's version of the object; higher versions replace lower ones.
         spec: The configuration, None for a deleted service (a tombstone).
-        write_id: Names the confirm that wrote this version.
+        write_id: Identifies the confirmation that wrote this version.
     """
 
     name: str
--- a/packages/limpethollow-wire/src/limpethollow_wire/settings.py
+++ b/packages/limpethollow-wire/src/limpethollow_wire/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the daemon, read from TOML and checked before anything starts."""
+"""Settings of the daemon, read from a TOML file and validated before startup."""
 
 import tomllib
 from pathlib import Path
@@ -18,21 +18,21 @@
 
 
 class InstanceSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Who this instance is."""
+    """Identity and failure domain of the instance."""
 
     id: str
     failure_domain: str
 
 
 class ListenerSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Where the instance listens; port 0 takes a free port, printed in the ready line.
+    """Listener addresses; port 0 selects a free port, which is printed in the ready line.
 
     Attributes:
-        host: IP number to bind.
-        caller_port: HTTP for callers.
-        operator_port: HTTP for operators.
-        peer_port: Websockets for other instances.
-        threads: Requests from callers handled at once.
+        host: IP address to bind.
+        caller_port: HTTP port for callers.
+        operator_port: HTTP port for operators.
+        peer_port: WebSocket port for other instances.
+        threads: Maximum number of caller requests handled concurrently.
     """
 
     host: str = "127.0.0.1"
@@ -43,13 +43,13 @@
 
 
 class PlatformSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The platform's object API.
+    """Connection settings for the platform's object API.
 
     Attributes:
         address: `host:port`.
-        timeout: Seconds for one call.
-        watch_timeout: Seconds that one watch call may wait; a watch gone silent is replaced
-            after this and `timeout` together.
+        timeout: Timeout of a call in seconds.
+        watch_timeout: Seconds that a watch call may wait for changes; a watch without a response
+            is replaced after `watch_timeout` plus `timeout`.
     """
 
     address: str
@@ -58,29 +58,29 @@
 
 
 class PeerSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How a fresh instance finds others while the platform, which lists them, is down.
+    """How a new instance discovers peers while the platform, which lists them, is down.
 
     Attributes:
-        seeds: `host:port` of some instances' peer listeners; dead ones do no harm.
+        seeds: `host:port` of peer listeners of some instances; unreachable ones are harmless.
     """
 
     seeds: tuple[str, ...] = ()
 
 
 class KeySettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Keys of the two inner listeners; callers' keys are part of each service."""
+    """Keys of the operator and peer listeners; caller keys are configured per service."""
 
     operator: str
     peer: str
 
 
 class ShutdownSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Bounds on a graceful shutdown.
+    """Time limits of a graceful shutdown.
 
     Attributes:
-        linger: Seconds to stay useful after the last route answer that names this instance; at
-            least the longest route_ttl in force is waited where this is lower.
-        bound: Seconds after which the instance exits whatever is still open.
+        linger: Seconds to keep serving after the last route answer that contains this instance; the
+            longest active route_ttl is used if it is higher.
+        bound: Seconds after which the instance exits even if requests are still open.
     """
 
     linger: float = 0.0
@@ -88,7 +88,7 @@
 
 
 class LogSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Logging: level name."""
+    """Log level: `DEBUG`, `INFO`, `WARNING` or `ERROR`."""
 
     level: str = "INFO"
 
@@ -106,23 +106,24 @@
 
     @classmethod
     def load(cls, path: str | Path) -> "NodeSettings":
-        """Read and check a settings file.
+        """Read and validate a settings file.
 
         Raises:
-            SettingsError: The file can't be read or a key is wrong; the message names both.
+            SettingsError: The file can't be read or a setting is invalid; the message names the
+                file and the setting.
         """
         settings = load_toml(path, cls)
         settings._check(path)
         return settings
 
     def _check(self, path: str | Path) -> None:
-        for holds, key, wanted in self._rules():
-            if not holds:
-                raise SettingsError(f"{path}: '{key}' {wanted}.")
+        for valid, key, problem in self._rules():
+            if not valid:
+                raise SettingsError(f"{path}: '{key}' {problem}.")
 
     def _rules(self) -> list[tuple[bool, str, str]]:
-        """Return what must hold, the key concerned, and what is wrong where it does not."""
-        keys, where = self.keys, self.listeners
+        """Return each condition with its setting and the problem reported if it is false."""
+        keys, listeners = self.keys, self.listeners
         ports = ("caller_port", "operator_port", "peer_port")
         host, _, port = self.platform.address.rpartition(":")
         id_is_plain = bool(self.instance.id) and "." not in self.instance.id
@@ -130,17 +131,21 @@
             (
                 id_is_plain,
                 "instance.id",
-                "is empty or has a dot, at which booking tokens are split",
+                "is empty or has a dot, which separates the parts of booking tokens",
+            ),
+            (
+                len(self.instance.id) <= MAX_NAME_LENGTH,
+                "instance.id",
+                "is longer than 64 characters",
             ),
-            (len(self.instance.id) <= MAX_NAME_LENGTH, "instance.id", "has over 64 characters"),
             (bool(self.instance.failure_domain), "instance.failure_domain", "is empty"),
             (len(keys.operator) >= _MIN_KEY_LENGTH, "keys.operator", _SHORT_KEY),
             (len(keys.peer) >= _MIN_KEY_LENGTH, "keys.peer", _SHORT_KEY),
             *(
-                (0 <= getattr(where, name) <= 65535, f"listeners.{name}", "must be 0 to 65535")
+                (0 <= getattr(listeners, name) <= 65535, f"listeners.{name}", "must be 0 to 65535")
                 for name in ports
             ),
-            (1 <= where.threads <= _MAX_THREADS, "listeners.threads", "must be 1 to 512"),
+            (1 <= listeners.threads <= _MAX_THREADS, "listeners.threads", "must be 1 to 512"),
             (bool(host) and port.isdigit(), "platform.address", "must be host:port"),
             (self.platform.timeout > 0, "platform.timeout", "must be above 0"),
             (self.platform.watch_timeout > 0, "platform.watch_timeout", "must be above 0"),
@@ -150,18 +155,20 @@
         ]
 
 
-def load_toml(path: str | Path, kind: type[T]) -> T:
+def load_toml(path: str | Path, settings_type: type[T]) -> T:
     """Read a TOML file into a typed object.
 
     Raises:
-        SettingsError: The file is missing, is not TOML, or a key is wrong or not known.
+        SettingsError: The file can't be read, is not valid TOML, or contains an invalid or unknown
+            key.
     """
     try:
         data = tomllib.loads(Path(path).read_text(encoding="utf-8"))
-        return msgspec.convert(data, kind)
+        return msgspec.convert(data, settings_type)
     except OSError as error:
         raise SettingsError(
-            f"{path}: can't be read ({error.strerror}).", remedy="Check the path and its rights."
+            f"{path}: can't be read ({error.strerror}).",
+            remedy="Check the path and the file permissions.",
         ) from None
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
         raise SettingsError(f"{path}: is not TOML ({error}).") from None
--- a/packages/limpethollow-wire/src/limpethollow_wire/versions.py
+++ b/packages/limpethollow-wire/src/limpethollow_wire/versions.py
@@ -1,32 +1,33 @@
-"""Versions of the platform's objects and lists, across its returns from older copies.
+"""Versions of the platform's objects and lists that stay ordered when it restores a backup.
 
-The platform counts its changes, and starts a new era when it comes back from an older copy of what
-it held: it then gives out numbers again. Era and number are carried as one integer, so that any
-two versions compare as they were written, also at instances of a release that knows no eras.
+The platform numbers its changes consecutively. When it restores an older copy of its data, it
+assigns numbers a second time, and therefore starts a new era. Era and number are encoded in one
+integer, so that versions compare in the order in which they were written, even on instances of a
+release without support for eras.
 """
 
-# Enough for a thousand changes a second over thirty years, and for 8,000 eras within the integers
-# that JSON readers keep exact.
+# Sufficient for 1,000 changes per second over 30 years. The remaining bits allow 8,000 eras within
+# the integers that JSON parsers represent exactly.
 _NUMBER_BITS = 40
 _NUMBER_MASK = (1 << _NUMBER_BITS) - 1
 
 
 def version_of(era: int, number: int) -> int:
-    """Return the version for a number of an era; negative numbers, which mean none, stay as is."""
+    """Combine era and number; negative numbers mean no version and are returned unchanged."""
     return number if number < 0 else era << _NUMBER_BITS | number
 
 
 def era_of(version: int) -> int:
-    """Return the era in which a version was written, 0 for none."""
+    """Return the era in which a version was written, 0 if there is no version."""
     return max(version, 0) >> _NUMBER_BITS
 
 
 def number_of(version: int) -> int:
-    """Return a version's number within its era, which is what the platform calls it."""
+    """Return a version's number within its era, which is the number that the platform uses."""
     return version if version < 0 else version & _NUMBER_MASK
 
 
 def version_text(version: int) -> str:
-    """Return a version as people read it."""
+    """Return a version as human-readable text."""
     era, number = era_of(version), number_of(version)
     return f"{number} of era {era}" if era else str(number)
