--- a/packages/limpethollow-node/src/limpethollow_node/process/__init__.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/__init__.py
@@ -1,1 +1,1 @@
-"""What lives as long as the process."""
+"""Objects that exist for the lifetime of the process."""
--- a/packages/limpethollow-node/src/limpethollow_node/process/actors.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/actors.py
@@ -1,4 +1,4 @@
-"""The actor that drives one group's scheduler."""
+"""Actor that runs the scheduler of one group."""
 
 import threading
 import time
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SearchMessage:
-    """A search and the future that gets its answer."""
+    """Starts a search; the future receives its result."""
 
     search: Search
     future: Future[Any]
@@ -49,22 +49,22 @@
 
 @dataclass(slots=True, frozen=True)
 class AbandonMessage:
-    """The caller of a search left."""
+    """Abandons a search whose caller disconnected."""
 
     search_id: str
 
 
 @dataclass(slots=True, frozen=True)
-class SlotMessage:
-    """A booking's wish for a slot and the future that gets the searcher's id."""
+class RequestSlotMessage:
+    """Requests a slot for a booking; the future receives the searcher's id."""
 
     request: SlotRequest
     future: Future[str]
 
 
 @dataclass(slots=True, frozen=True)
-class ReleaseMessage:
-    """A booking is done with its slot."""
+class ReleaseSlotMessage:
+    """Releases the slot of a booking and reports how its dispatch ended."""
 
     request_id: str
     failure: Failure | None
@@ -72,16 +72,16 @@
 
 
 @dataclass(slots=True, frozen=True)
-class AnsweredMessage:
-    """A searcher replied."""
+class CallRepliedMessage:
+    """Reports the reply of a searcher to a call."""
 
     call_id: str
     reply: SearcherReply
 
 
 @dataclass(slots=True, frozen=True)
-class FailedMessage:
-    """A call to a searcher failed."""
+class CallFailedMessage:
+    """Reports that a call to a searcher failed."""
 
     call_id: str
     failure: Failure
@@ -90,7 +90,10 @@
 
 @dataclass(slots=True, frozen=True)
 class DrainMessage:
-    """Another instance heard that a searcher is leaving or back, or the platform lists it so."""
+    """Reports that a searcher is draining or in service again.
+
+    The report comes from another instance or, where `listed` is set, from the platform's list.
+    """
 
     searcher_id: str
     draining: bool
@@ -100,12 +103,12 @@
 
 @dataclass(slots=True, frozen=True)
 class TickMessage:
-    """The time the scheduler asked to be woken at has come."""
+    """Signals that the time of the wake-up requested by the scheduler has come."""
 
 
 @dataclass(slots=True, frozen=True)
 class ReconfigureMessage:
-    """A newer version of the service came into force."""
+    """Switches the group to a newer version of its service."""
 
     spec: ServiceSpec
     group: Group
@@ -114,18 +117,18 @@
 
 @dataclass(slots=True, frozen=True)
 class RetireMessage:
-    """A newer version took over; end once nothing is open."""
+    """Stops the actor once it has no open work."""
 
 
 class Mailbox:
-    """Where an actor takes messages until it is retired.
+    """Sends messages to an actor and rejects new requests once the actor is being retired.
 
-    An actor that stops drops what is left in its inbox, and a search in it would hang until its
-    deadline. So closing and asking exclude each other: what was asked before is ahead of the
-    retirement in the inbox, and what comes after is refused here.
+    An actor that stops discards the messages left in its inbox, and a discarded search would hang
+    until its deadline. A lock therefore serializes `ask` and `close`: requests sent before the
+    close precede the final message in the inbox, and later ones are rejected here.
 
     Args:
-        ref: The actor.
+        ref: Reference to the actor.
     """
 
     def __init__(self, ref: pykka.ActorRef[Any]) -> None:
@@ -135,23 +138,23 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether the actor takes requests."""
+        """Whether the actor accepts requests."""
         return not self._closed and self._ref.is_alive()
 
     def ask(self, message: Any) -> bool:
-        """Send a message that wants an answer; false where there will be none."""
+        """Send a request; return False if the actor no longer accepts requests."""
         with self._lock:
             return not self._closed and self._send(message)
 
     def tell(self, message: Any) -> None:
-        """Send a message that concerns something open, which keeps the actor alive."""
+        """Send a message about open work, which keeps the actor alive until it has completed."""
         self._send(message)
 
-    def close(self, last: Any) -> None:
-        """Send the last message and refuse all that want an answer."""
+    def close(self, final_message: Any) -> None:
+        """Send the final message and reject all later requests."""
         with self._lock:
             self._closed = True
-            self._send(last)
+            self._send(final_message)
 
     def _send(self, message: Any) -> bool:
         try:
@@ -162,16 +165,17 @@
 
 
 class GroupActor(pykka.ThreadingActor):
-    """Carries events to one group's scheduler and its actions to the searchers.
+    """Passes events to the scheduler of one group and executes the actions that it returns.
 
     Args:
-        spec: The service.
-        group: The group.
-        clients: Client of each searcher; closed when the actor ends.
-        timers: Where wake-ups are set.
-        metrics: Where counters are kept.
-        prefix: Makes the ids of calls unique among all instances and runs.
-        tell_drain: Tells other owners of the group that a searcher is leaving or back.
+        spec: Specification of the service.
+        group: The group to serve.
+        clients: Client for each searcher, by searcher id; closed when the actor stops.
+        timers: Schedules the wake-ups of the scheduler.
+        metrics: Registry for counters and timings.
+        prefix: Prefix that makes call ids unique across instances and their runs.
+        notify_drain: Notifies other owners of the group that a searcher is draining or in service
+            again.
     """
 
     use_daemon_thread = True
@@ -184,7 +188,7 @@
         timers: Timers,
         metrics: Metrics,
         prefix: str,
-        tell_drain: Callable[[str, bool], None] = lambda searcher_id, draining: None,
+        notify_drain: Callable[[str, bool], None] = lambda searcher_id, draining: None,
     ) -> None:
         super().__init__()
         self._service = spec.name
@@ -193,59 +197,61 @@
         self._metrics = metrics
         self._scheduler = GroupScheduler(spec, group, Random())
         self._clients = clients
-        self._tell_drain = tell_drain
+        self._notify_drain = notify_drain
         self._calls: dict[str, SearcherClient] = {}
         self._futures: dict[str, Future[Any]] = {}
         self._slots: dict[str, Future[str]] = {}
-        self._wake_at = float("inf")
+        self._next_tick_at = float("inf")
         self._retiring = False
-        self._workers = self._make_workers(group)
+        self._executor = self._make_executor(group)
 
     def on_stop(self) -> None:
-        """Close all connections when the actor ends."""
-        self._workers.shutdown(wait=False)
+        """Stop the worker threads and close all clients when the actor stops."""
+        self._executor.shutdown(wait=False)
         for client in self._clients.values():
             client.__exit__()
 
     def on_failure(self, *details: Any) -> None:
-        """Log the defect that ended the actor, and answer all that waits for it."""
+        """Log the unexpected error that stopped the actor and fail all pending futures."""
         events.DEFECT.log(where="group actor", service=self._service, error=repr(details[1]))
-        error = Unavailable("The group has a defect and starts anew.", retry_after=_RETRY_AFTER)
+        error = Unavailable(
+            "The group failed unexpectedly and is restarting.", retry_after=_RETRY_AFTER
+        )
         for future in (*self._futures.values(), *self._slots.values()):
             if future.set_running_or_notify_cancel():
                 future.set_exception(error)
 
     def on_receive(self, message: Any) -> Any:
-        """Hand one event to the scheduler and carry out what it says."""
+        """Pass one event to the scheduler and execute the resulting actions."""
         now = time.monotonic()
-        for action in self._decide(message, now):
-            self._carry_out(action)
+        for action in self._handle_event(message, now):
+            self._execute(action)
         if self._retiring and self._scheduler.is_idle:
             self.stop()
 
-    def _decide(self, message: Any, now: float) -> list[Action]:
+    def _handle_event(self, message: Any, now: float) -> list[Action]:
         match message:
             case SearchMessage(search, future):
                 self._futures[search.id] = future
                 return self._scheduler.search_arrived(search, now)
-            case AnsweredMessage(call_id, reply):
+            case CallRepliedMessage(call_id, reply):
                 self._calls.pop(call_id, None)
                 return self._scheduler.call_answered(call_id, reply, now)
-            case FailedMessage(call_id, failure, retry_after):
+            case CallFailedMessage(call_id, failure, retry_after):
                 self._calls.pop(call_id, None)
                 return self._scheduler.call_failed(call_id, failure, retry_after, now)
             case AbandonMessage(search_id):
                 self._futures.pop(search_id, None)
                 return self._scheduler.search_abandoned(search_id, now)
-            case SlotMessage(request, future):
+            case RequestSlotMessage(request, future):
                 self._slots[request.id] = future
                 return self._scheduler.slot_wanted(request, now)
-            case ReleaseMessage(request_id, failure, retry_after):
+            case ReleaseSlotMessage(request_id, failure, retry_after):
                 return self._scheduler.slot_released(request_id, failure, retry_after, now)
             case ReconfigureMessage(spec, group, clients):
                 self._clients = clients
-                self._workers.shutdown(wait=False)
-                self._workers = self._make_workers(group)
+                self._executor.shutdown(wait=False)
+                self._executor = self._make_executor(group)
                 return self._scheduler.reconfigure(spec, group, now)
             case DrainMessage(searcher_id, draining, said_at, listed):
                 return self._scheduler.drain_noted(searcher_id, draining, said_at, listed, now)
@@ -253,25 +259,25 @@
                 self._retiring = True
                 return []
             case TickMessage():
-                self._wake_at = float("inf")
+                self._next_tick_at = float("inf")
                 return self._scheduler.tick(now)
-        raise TypeError(f"A group actor takes no {type(message).__name__}.")
+        raise TypeError(f"GroupActor does not handle messages of type {type(message).__name__}.")
 
-    def _carry_out(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         match action:
             case StartCall():
                 client = self._calls[action.call_id] = self._clients[action.searcher_id]
-                self._workers.submit(self._call, client, action)
+                self._executor.submit(self._call, client, action)
             case CancelCall(call_id):
-                self._workers.submit(self._cancel, self._calls[call_id], call_id)
+                self._executor.submit(self._cancel, self._calls[call_id], call_id)
             case Complete(search_id, answer):
-                self._settle(search_id, lambda future: future.set_result(answer))
+                self._complete_search(search_id, lambda future: future.set_result(answer))
             case Servable(search_id, versions):
-                self._settle(search_id, lambda future: future.set_result(versions))
+                self._complete_search(search_id, lambda future: future.set_result(versions))
             case Refuse(search_id, error):
-                self._settle(search_id, lambda future: future.set_exception(error))
+                self._complete_search(search_id, lambda future: future.set_exception(error))
             case GrantSlot(request_id, searcher_id):
-                self._give_slot(request_id, searcher_id)
+                self._grant_slot(request_id, searcher_id)
             case DenySlot(request_id, error):
                 future = self._slots.pop(request_id)
                 if future.set_running_or_notify_cancel():
@@ -279,28 +285,28 @@
             case Count(name, reason):
                 self._metrics.count(name, reason)
             case TellDrain(searcher_id, draining):
-                self._tell_drain(searcher_id, draining)
+                self._notify_drain(searcher_id, draining)
             case WakeAt(when):
-                self._set_wake(when)
+                self._schedule_tick(when)
 
-    def _settle(self, search_id: str, give: Callable[[Future[Any]], None]) -> None:
+    def _complete_search(self, search_id: str, complete: Callable[[Future[Any]], None]) -> None:
         future = self._futures.pop(search_id, None)
         if future is not None and future.set_running_or_notify_cancel():
-            give(future)
+            complete(future)
 
-    def _give_slot(self, request_id: str, searcher_id: str) -> None:
+    def _grant_slot(self, request_id: str, searcher_id: str) -> None:
         future = self._slots.pop(request_id)
         if future.set_running_or_notify_cancel():
             future.set_result(searcher_id)
         else:
-            self.actor_ref.tell(ReleaseMessage(request_id, None, None))
+            self.actor_ref.tell(ReleaseSlotMessage(request_id, None, None))
 
-    def _set_wake(self, when: float) -> None:
-        if when < self._wake_at:
-            self._wake_at = when
-            self._timers.call_at(when, self._tell_tick)
+    def _schedule_tick(self, when: float) -> None:
+        if when < self._next_tick_at:
+            self._next_tick_at = when
+            self._timers.call_at(when, self._send_tick)
 
-    def _tell_tick(self) -> None:
+    def _send_tick(self) -> None:
         if self.actor_ref.is_alive():
             self.actor_ref.tell(TickMessage())
 
@@ -317,13 +323,15 @@
         try:
             with self._metrics.timed("searcher_call"):
                 reply = client.search(call)
-            result: AnsweredMessage | FailedMessage = AnsweredMessage(action.call_id, reply)
+            result: CallRepliedMessage | CallFailedMessage = CallRepliedMessage(
+                action.call_id, reply
+            )
         except CallFailed as error:
-            result = FailedMessage(action.call_id, error.failure, error.retry_after)
+            result = CallFailedMessage(action.call_id, error.failure, error.retry_after)
             events.SEARCHER_CALL_FAILED.log(searcher=action.searcher_id, failure=error.failure)
         except Exception as error:
-            # The scheduler must hear of every call exactly once, or its slot is lost for good.
-            result = FailedMessage(action.call_id, Failure.BROKEN, None)
+            # Every call must be reported to the scheduler exactly once, or its slot is never freed.
+            result = CallFailedMessage(action.call_id, Failure.BROKEN, None)
             events.DEFECT.log(where="searcher call", error=repr(error), exc_info=True)
         if self.actor_ref.is_alive():
             self.actor_ref.tell(result)
@@ -335,7 +343,11 @@
     def _request_id(self, call_id: str) -> str:
         return f"{self._prefix}-{call_id}"
 
-    def _make_workers(self, group: Group) -> ThreadPoolExecutor:
-        """Return threads for every slot, for the cancels of all calls and for inventories."""
-        workers = sum(2 * searcher.slots + 2 for searcher in group.searchers)
-        return ThreadPoolExecutor(workers, thread_name_prefix=f"calls-{self._service}")
+    def _make_executor(self, group: Group) -> ThreadPoolExecutor:
+        """Return a thread pool that can run all calls, their cancellations and inventory calls.
+
+        Each slot needs one thread for its call and one for the cancellation. Each searcher needs
+        two more for its inventory call and the cancellation of it.
+        """
+        max_workers = sum(2 * searcher.slots + 2 for searcher in group.searchers)
+        return ThreadPoolExecutor(max_workers, thread_name_prefix=f"calls-{self._service}")
--- a/packages/limpethollow-node/src/limpethollow_node/process/configs.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/configs.py
@@ -1,4 +1,4 @@
-"""Keeps the configuration in force at this instance current."""
+"""Synchronizes this instance's configuration with the platform and with peers."""
 
 import threading
 import time
@@ -24,8 +24,8 @@
 
 SERVICE_KIND = "service"
 
-_FIRST_PAUSE = 0.1
-_LONGEST_PAUSE = 5.0
+_INITIAL_BACKOFF = 0.1
+_MAX_BACKOFF = 5.0
 _IDLE_POLL = 0.5
 _LOAD_POLL = 0.05
 _NO_WAIT = 0.0
@@ -34,7 +34,7 @@
 
 
 def record_of(stored: PlatformObject) -> ServiceRecord:
-    """Read a service's record out of the platform's object."""
+    """Decode the service record stored in a platform object."""
     spec = stored.value.get("spec")
     return ServiceRecord(
         name=stored.name,
@@ -45,13 +45,13 @@
 
 
 class ConfigKeeper:
-    """Merges records from the platform and from peers, and tells listeners of new ones.
+    """Merges service records from the platform and peers and notifies listeners of changes.
 
     Args:
-        platform: The platform's client.
-        members: The other instances, and whether this one has to watch the platform.
-        metrics: Where refusals are counted.
-        rng: Source for jitter.
+        platform: Client of the platform.
+        members: Known instances; also decides whether this instance watches the platform.
+        metrics: Registry for counters.
+        rng: Random source for backoff jitter.
     """
 
     def __init__(
@@ -65,9 +65,9 @@
         self._freshness = Freshness(time.monotonic())
         self._revision = 0
         self._listeners: list[Listener] = []
-        self._backoff = Backoff(_FIRST_PAUSE, _LONGEST_PAUSE, rng)
+        self._backoff = Backoff(_INITIAL_BACKOFF, _MAX_BACKOFF, rng)
         self._stopped = threading.Event()
-        self._thread = threading.Thread(target=self._follow, name="configs", daemon=True)
+        self._thread = threading.Thread(target=self._run, name="configs", daemon=True)
 
     def __enter__(self) -> "ConfigKeeper":
         self._thread.start()
@@ -78,24 +78,24 @@
 
     @property
     def is_loaded(self) -> bool:
-        """Whether the configuration was read once, so that its absence means something."""
+        """Whether the configuration was loaded; only then is a missing record a missing service."""
         return self._freshness.is_loaded
 
     @property
     def is_refusing(self) -> bool:
-        """Whether new work is refused because nobody says what is in force."""
+        """Whether new work is refused because the configuration in force can't be confirmed."""
         with self._lock:
             return self._refusal() is not None
 
     @property
     def wants_probe(self) -> bool:
-        """Whether no peer answered for so long that the platform should be asked."""
+        """Whether peers have been silent for so long that the platform should be probed."""
         with self._lock:
             return self._freshness.wants_probe(time.monotonic())
 
     @property
     def digest(self) -> dict[str, int]:
-        """Version in force by service, tombstones included."""
+        """Versions in force by service name, tombstones included."""
         with self._lock:
             return self._configuration.digest
 
@@ -107,48 +107,48 @@
 
     @property
     def bucket_hashes(self) -> dict[int, int]:
-        """Hash of each bucket of records."""
+        """Hashes of the record buckets, by bucket number."""
         with self._lock:
             return self._configuration.bucket_hashes
 
     def listen(self, listener: Listener) -> None:
-        """Have a callable told of records that came into force."""
+        """Register a callable that is called with records that come into force."""
         self._listeners.append(listener)
 
     def record(self, service: str) -> ServiceRecord | None:
-        """Return a service's record in force, a tombstone included."""
+        """Return the record in force of a service, which may be a tombstone."""
         with self._lock:
             return self._configuration.get(service)
 
     def require(self, service: str) -> ServiceRecord:
-        """Return the record of a service that exists.
+        """Return the record of an existing service.
 
         Raises:
-            UnknownService: It is deleted, or there never was one.
-            Unavailable: The configuration was not read yet.
+            UnknownService: The service was deleted or never existed.
+            Unavailable: The record is missing and the configuration is not loaded yet.
         """
         record = self.record(service)
         if record is not None and record.spec is not None:
             return record
         if not self.is_loaded:
             self.check_current()
-        raise UnknownService(f"There is no service '{service}'.")
+        raise UnknownService(f"Service '{service}' does not exist.")
 
     def admit(self, service: str) -> ServiceRecord:
         """Return the record of a service for new work.
 
         Raises:
-            UnknownService: It is deleted, or there never was one.
-            Unavailable: This instance can't know what is in force.
+            UnknownService: The service was deleted or never existed.
+            Unavailable: This instance can't confirm which configuration is in force.
         """
         self.check_current()
         return self.require(service)
 
     def check_current(self) -> None:
-        """Refuse new work where this instance can't know what is in force.
+        """Raise an error if this instance can't confirm which configuration is in force.
 
         Raises:
-            Unavailable: Neither a peer nor the platform answered for a while.
+            Unavailable: Neither a peer nor the platform has answered recently.
         """
         with self._lock:
             refusal = self._refusal()
@@ -156,15 +156,15 @@
             return
         self._metrics.count("work_refused", refusal.reason)
         raise Unavailable(
-            "The instance can't know which configuration is in force.",
-            remedy="Use another instance, or come back after retry_after seconds.",
+            "The instance can't confirm which configuration is in force.",
+            remedy="Use another instance, or retry after retry_after seconds.",
             retry_after=refusal.retry_after,
         )
 
     def merge(self, records: Iterable[ServiceRecord]) -> tuple[ServiceRecord, ...]:
-        """Take in records from anywhere; return those that came into force."""
+        """Merge records from any source and return those that came into force."""
         with self._lock:
-            evacuated = {r.name: _evacuated_in(r) for r in self._configuration.records}
+            evacuated = {r.name: _evacuated_domains(r) for r in self._configuration.records}
             applied = self._configuration.merge(records)
         if applied:
             events.RECORDS_APPLIED.log(versions={r.name: r.version for r in applied})
@@ -175,7 +175,7 @@
         return applied
 
     def state(self, relay: bool = False) -> SyncState:
-        """Return what this instance knows, for comparison with a peer."""
+        """Return the synchronization state of this instance for comparison with a peer's."""
         members = self._members.revision
         with self._lock:
             return SyncState(
@@ -188,33 +188,33 @@
             )
 
     def digest_for(self, theirs: dict[int, int]) -> Digest:
-        """Return our versions in the buckets that differ from a peer's."""
+        """Return the local versions in all buckets whose hash differs from the peer's."""
         with self._lock:
             buckets = self._configuration.differing_buckets(theirs)
             return Digest(self._configuration.versions_in(buckets), buckets)
 
     def lacking(self, versions: dict[str, int]) -> tuple[str, ...]:
-        """Return the names whose version in a peer's digest is newer than ours."""
+        """Return the names of services for which a peer's digest has a newer version."""
         with self._lock:
             return self._configuration.lacking(versions)
 
     def newer_than(self, digest: Digest) -> tuple[str, ...]:
-        """Return the names for which the sender of a digest has an older version or none."""
+        """Return the names of services for which a peer's digest has an older version or none."""
         with self._lock:
             return self._configuration.newer_than(digest.versions, digest.buckets)
 
     def named(self, names: Iterable[str]) -> tuple[ServiceRecord, ...]:
-        """Return the records of some services."""
+        """Return the records of the named services that exist here, tombstones included."""
         with self._lock:
             found = [self._configuration.get(name) for name in names]
         return tuple(record for record in found if record is not None)
 
     def confirmed(self, begun_at: float, complete_to: int) -> None:
-        """Note that a loaded peer or the platform answered a request.
+        """Record that the platform, or a peer with a loaded configuration, answered a request.
 
         Args:
-            begun_at: When the request was begun.
-            complete_to: Platform revision up to which the records are known whole.
+            begun_at: Monotonic time at which the request started.
+            complete_to: Platform revision up to which all records are known.
         """
         with self._lock:
             self._freshness.confirmed(begun_at)
@@ -222,47 +222,47 @@
             self._revision = max(self._revision, complete_to)
 
     def probe(self) -> None:
-        """Ask the platform for news without waiting; this also shows whether it answers."""
+        """Fetch changes from the platform without waiting, which also tests whether it answers."""
         self._metrics.count("platform_probes")
         try:
             if self.is_loaded:
-                self._read(lambda: self._platform.watch(SERVICE_KIND, self._revision, _NO_WAIT))
+                self._fetch(lambda: self._platform.watch(SERVICE_KIND, self._revision, _NO_WAIT))
             else:
-                self._read(lambda: self._platform.list(SERVICE_KIND))
+                self._fetch(lambda: self._platform.list(SERVICE_KIND))
         except LimpethollowError:
             return
 
     def _refusal(self) -> RefuseWork | None:
         return self._freshness.refusal(self._members.has_peers, time.monotonic())
 
-    def _follow(self) -> None:
+    def _run(self) -> None:
         while not self._stopped.is_set():
             if not self.is_loaded and not self._members.should_load():
                 self._stopped.wait(_LOAD_POLL)
             elif self.is_loaded and not self._members.should_watch():
                 self._stopped.wait(_IDLE_POLL)
             else:
-                self._follow_once()
+                self._update_once()
 
-    def _follow_once(self) -> None:
+    def _update_once(self) -> None:
         try:
             if self.is_loaded:
-                self._read(lambda: self._platform.watch(SERVICE_KIND, self._revision))
+                self._fetch(lambda: self._platform.watch(SERVICE_KIND, self._revision))
             else:
-                self._read(lambda: self._platform.list(SERVICE_KIND))
+                self._fetch(lambda: self._platform.list(SERVICE_KIND))
         except LimpethollowError:
             self._stopped.wait(self._backoff.failed())
             return
         self._backoff.succeeded()
 
-    def _read(self, call: Callable[[], ObjectList]) -> None:
+    def _fetch(self, call: Callable[[], ObjectList]) -> None:
         begun_at = time.monotonic()
         answer = call()
-        self.merge(self._readable(answer.objects))
+        self.merge(self._decode_records(answer.objects))
         self.confirmed(begun_at, answer.revision)
 
-    def _readable(self, objects: Iterable[PlatformObject]) -> list[ServiceRecord]:
-        """Read the records; one that can't be read keeps its old version and no other back."""
+    def _decode_records(self, objects: Iterable[PlatformObject]) -> list[ServiceRecord]:
+        """Decode the records; an invalid one keeps its old version and doesn't block others."""
         records = []
         for stored in objects:
             try:
@@ -273,12 +273,12 @@
         return records
 
 
-def _evacuated_in(record: ServiceRecord) -> frozenset[str]:
+def _evacuated_domains(record: ServiceRecord) -> frozenset[str]:
     return frozenset(record.spec.evacuated) if record.spec else frozenset()
 
 
 def _log_evacuations(record: ServiceRecord, before: frozenset[str]) -> None:
-    after = _evacuated_in(record)
+    after = _evacuated_domains(record)
     for domain in sorted(after - before):
         events.DOMAIN_EVACUATED.log(domain=domain, service=record.name, version=record.version)
     for domain in sorted(before - after):
--- a/packages/limpethollow-node/src/limpethollow_node/process/drains.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/drains.py
@@ -1,4 +1,4 @@
-"""Tells other owners of a group what is known of leaving searchers."""
+"""Notifies other owners of a group about draining searchers."""
 
 import time
 from concurrent.futures import ThreadPoolExecutor
@@ -16,20 +16,22 @@
 from limpethollow_wire.instances import SearcherListing
 from limpethollow_wire.peers import Acknowledgement, DrainNotice
 
-_WORKERS = 2
-_TIMEOUT = 0.5
+_MAX_WORKERS = 2
+_NOTICE_TIMEOUT = 0.5
 _LEAVING = "leaving"
 
 
 class DrainTeller:
-    """Sends notices to the first owners of a group; further ones learn from their own replies.
+    """Sends drain notices to the first owners of a group.
+
+    Further owners learn that a searcher is draining from its replies to their own calls.
 
     Args:
-        members: The instances.
-        configs: The services.
-        links: Links to the instances.
-        groups: The groups served here.
-        metrics: Where notices are counted.
+        members: Known instances.
+        configs: Configuration of the services.
+        links: Links to the other instances.
+        groups: Groups served by this instance.
+        metrics: Registry for counters.
     """
 
     def __init__(
@@ -46,28 +48,28 @@
         self._groups = groups
         self._metrics = metrics
         self._listed: frozenset[str] = frozenset()
-        self._workers = ThreadPoolExecutor(_WORKERS, thread_name_prefix="drain-notice")
+        self._executor = ThreadPoolExecutor(_MAX_WORKERS, thread_name_prefix="drain-notice")
 
     def __enter__(self) -> "DrainTeller":
         return self
 
     def __exit__(self, *_: object) -> None:
-        self._workers.shutdown(wait=False, cancel_futures=True)
+        self._executor.shutdown(wait=False, cancel_futures=True)
 
     def heard(self, notice: DrainNotice) -> None:
-        """Pass on what a searcher said to a group here."""
+        """Forward a report that a searcher made to a group of this instance."""
         events.SEARCHER_DRAINS.log(searcher=notice.searcher, draining=notice.draining)
-        self._workers.submit(self._tell_owners, notice, time.monotonic())
+        self._executor.submit(self._notify_owners, notice, time.monotonic())
 
     def listed(self, searchers: tuple[SearcherListing, ...]) -> None:
-        """Pass on what changed in the platform's list."""
+        """Apply and forward state changes in the platform's list of searchers."""
         leaving = frozenset(s.address for s in searchers if s.state == _LEAVING)
         changed, self._listed = leaving ^ self._listed, leaving
-        for notice in self._notices_of(changed):
+        for notice in self._make_notices(changed):
             self._groups.drain_noted(notice)
-            self._workers.submit(self._tell_owners, notice, time.monotonic())
+            self._executor.submit(self._notify_owners, notice, time.monotonic())
 
-    def _notices_of(self, addresses: frozenset[str]) -> list[DrainNotice]:
+    def _make_notices(self, addresses: frozenset[str]) -> list[DrainNotice]:
         return [
             DrainNotice(
                 record.name,
@@ -84,13 +86,13 @@
             if searcher.address in addresses
         ]
 
-    def _tell_owners(self, notice: DrainNotice, said_at: float) -> None:
+    def _notify_owners(self, notice: DrainNotice, said_at: float) -> None:
         key = group_key(notice.service, notice.group)
         for owner in owner_order(key, self._members.routable())[:DISAGREEING_OWNERS]:
             if owner.id != self._members.own_id:
-                self._tell(owner.id, notice, said_at)
+                self._send_notice(owner.id, notice, said_at)
 
-    def _tell(self, peer_id: str, notice: DrainNotice, said_at: float) -> None:
+    def _send_notice(self, peer_id: str, notice: DrainNotice, said_at: float) -> None:
         aged = DrainNotice(
             notice.service,
             notice.group,
@@ -100,7 +102,7 @@
             listed=notice.listed,
         )
         try:
-            self._links.request(peer_id, "searcher.drain", aged, Acknowledgement, _TIMEOUT)
+            self._links.request(peer_id, "searcher.drain", aged, Acknowledgement, _NOTICE_TIMEOUT)
             self._metrics.count("drain_notices", "sent")
         except LimpethollowError as error:
             self._metrics.count("drain_notices", error.code)
--- a/packages/limpethollow-node/src/limpethollow_node/process/garbage.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/garbage.py
@@ -1,39 +1,40 @@
-"""When the interpreter looks for garbage."""
+"""Scheduling of the interpreter's garbage collection."""
 
 import gc
 
-# Objects made, less those freed, before the young ones are looked at. A search over 87 shards makes
-# 820 that live until its answer; at the interpreter's own 700 each search is held up.
-_YOUNG = 10_000
-# Looks at the younger objects before the older ones are looked at too; the interpreter's values.
-_MIDDLE, _OLD = 10, 10
-# Young objects for which a look between requests is worth its while: those of one search.
-_WORTH_A_LOOK = 500
-# Looks at the youngest objects for each one at those that have outlived it.
-_YOUNG_LOOKS = 16
+# Net allocations that trigger a collection of generation 0. A search over 87 shards allocates 820
+# objects that live until its answer, so the interpreter's default of 700 would delay each search.
+_THRESHOLD_0 = 10_000
+# Collections of one generation that trigger a collection of the next; the interpreter's defaults.
+_THRESHOLD_1, _THRESHOLD_2 = 10, 10
+# Net allocations that make a collection between requests worthwhile: about those of one search.
+_MIN_YOUNG_OBJECTS = 500
+# Collections of generation 0 after which a collection between requests includes generation 1.
+_COLLECTIONS_PER_GENERATION_1 = 16
 
 
 def look_between_requests(*, busy: bool) -> None:
-    """Look for garbage while nobody waits; called a few times a second.
+    """Collect garbage while no request is in progress; called a few times per second.
 
-    Otherwise the interpreter does so in the middle of whatever makes the 10,000th object, which is
-    most often a search: on 0.12 of a core three of 59 stood still for 24 to 33 ms (clocks put into
-    the code for a play), and none since.
+    Otherwise the collection starts at whichever allocation reaches the threshold of 10,000 objects,
+    most often within a search. On 0.12 of a core, 3 of 59 searches were paused for 24 to 33 ms
+    without this function and none with it (measured in a test run with timers added to the code).
 
     Args:
-        busy: Whether a request is under way.
+        busy: Whether a request is in progress.
     """
-    young, looks, _ = gc.get_count()
-    if not busy and young > _WORTH_A_LOOK:
-        gc.collect(1 if looks >= _YOUNG_LOOKS else 0)
+    young, collections, _ = gc.get_count()
+    if not busy and young > _MIN_YOUNG_OBJECTS:
+        gc.collect(1 if collections >= _COLLECTIONS_PER_GENERATION_1 else 0)
 
 
 class QuietStart:
-    """Loads the program without looking for garbage, and never looks at what was loaded.
+    """Disables garbage collection during program startup and excludes the loaded objects from it.
 
-    What a program loads stays until it ends: 30,000 objects, through which a full look takes 3.6 ms
-    of a core, and 30 on 0.12 of one. Two small fleets played side by side, with and without: 29 and
-    15 of 178 wide searches in time, 49 and 26 of 259 on a heavy day.
+    The 30,000 objects that the program loads live until it exits. A full collection over them takes
+    3.6 ms on a core and 30 ms on 0.12 of one. In a comparison of two small fleets with and without
+    this class, 29 and 15 of 178 searches over many shards were answered in time, and 49 and 26 of
+    259 under heavy load.
 
     Usage:
         with QuietStart():
@@ -48,5 +49,5 @@
 
     def __exit__(self, *_: object) -> None:
         gc.freeze()
-        gc.set_threshold(_YOUNG, _MIDDLE, _OLD)
+        gc.set_threshold(_THRESHOLD_0, _THRESHOLD_1, _THRESHOLD_2)
         gc.enable()
--- a/packages/limpethollow-node/src/limpethollow_node/process/groups.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/groups.py
@@ -1,4 +1,4 @@
-"""The group actors of this instance, started when first needed."""
+"""Group actors of this instance, each started on first use."""
 
 import itertools
 import threading
@@ -17,10 +17,10 @@
     GroupActor,
     Mailbox,
     ReconfigureMessage,
-    ReleaseMessage,
+    ReleaseSlotMessage,
+    RequestSlotMessage,
     RetireMessage,
     SearchMessage,
-    SlotMessage,
 )
 from limpethollow_node.process.metrics import Metrics
 from limpethollow_node.process.timers import Timers
@@ -34,15 +34,15 @@
 
 
 @dataclass(slots=True, frozen=True)
-class GroupParts:
-    """What all groups of an instance share.
+class GroupResources:
+    """Resources shared by all groups of an instance.
 
     Attributes:
-        pools: Connections to all searchers.
-        timers: Where actors set their wake-ups.
-        metrics: Where counters are kept.
-        waiting: Futures of all searches that have no answer yet.
-        drain_listeners: Told of searchers that said that they are leaving or back.
+        pools: Connection pools for all searchers.
+        timers: Schedules the wake-ups of the actors.
+        metrics: Registry for counters and timings.
+        waiting: Futures of all searches that have not completed.
+        drain_listeners: Called when a searcher reports that it is draining or in service again.
     """
 
     pools: ConnectionPools
@@ -51,139 +51,149 @@
     waiting: set[Future[Any]] = field(default_factory=set)
     drain_listeners: list[Callable[[DrainNotice], None]] = field(default_factory=list)
 
-    def drain_heard(self, service: str, index: int, searcher_id: str, draining: bool) -> None:
-        """Pass on a searcher's word."""
+    def notify_drain_listeners(
+        self, service: str, index: int, searcher_id: str, draining: bool
+    ) -> None:
+        """Call the drain listeners with what a searcher reported."""
         for listener in self.drain_listeners:
             listener(DrainNotice(service, index, searcher_id, draining, age=0.0))
 
 
 class LocalGroup:
-    """One group served by this instance, as one version of its service describes it.
+    """Handle for one group served by this instance, at one version of its service.
 
-    A later version is another handle on the same actor, so what was started under this one goes on
-    and no slot of a searcher is used twice.
+    The handle for a later version refers to the same actor, so work started under this version
+    continues and no slot of a searcher is used twice.
 
     Args:
-        record: The service's record.
+        record: Record of the service.
         group: The group.
-        parts: What all groups share.
-        mailbox: Where the group's actor takes messages.
-        clients: Client of each searcher.
+        resources: Resources shared by all groups.
+        mailbox: Mailbox of the group's actor.
+        clients: Client for each searcher, by searcher id.
     """
 
     def __init__(
         self,
         record: ServiceRecord,
         group: Group,
-        parts: GroupParts,
+        resources: GroupResources,
         mailbox: Mailbox,
         clients: dict[str, SearcherClient],
     ) -> None:
         self.version = record.version
         self._group = group
-        self._parts = parts
+        self._resources = resources
         self._mailbox = mailbox
         self._clients = clients
-        self._left: tuple[SearcherClient, ...] = ()
+        self._removed_clients: tuple[SearcherClient, ...] = ()
 
     @classmethod
     def start(
-        cls, record: ServiceRecord, group: Group, parts: GroupParts, prefix: str
+        cls, record: ServiceRecord, group: Group, resources: GroupResources, prefix: str
     ) -> "LocalGroup":
-        """Start a group's actor."""
+        """Start the actor of a group and return a handle for it."""
         assert record.spec is not None
-        clients = {searcher.id: _client(parts, searcher) for searcher in group.searchers}
-        tell_drain = partial(parts.drain_heard, record.name, group.index)
+        clients = {searcher.id: _make_client(resources, searcher) for searcher in group.searchers}
+        notify_drain = partial(resources.notify_drain_listeners, record.name, group.index)
         ref = GroupActor.start(
-            record.spec, group, clients, parts.timers, parts.metrics, prefix, tell_drain
+            record.spec, group, clients, resources.timers, resources.metrics, prefix, notify_drain
         )
-        return cls(record, group, parts, Mailbox(ref), clients)
+        return cls(record, group, resources, Mailbox(ref), clients)
 
     @property
     def is_alive(self) -> bool:
-        """Whether the group takes requests."""
+        """Whether the group accepts requests."""
         return self._mailbox.is_open
 
-    def moved_to(self, record: ServiceRecord, group: Group) -> "LocalGroup":
-        """Have the actor go over to a newer version of the service; return the new handle."""
+    def reconfigure(self, record: ServiceRecord, group: Group) -> "LocalGroup":
+        """Switch the actor to a newer version of the service and return the new handle."""
         assert record.spec is not None
         old = {searcher.id: searcher for searcher in self._group.searchers}
         clients = {
             searcher.id: (
                 self._clients[searcher.id]
                 if _same_connections(old.get(searcher.id), searcher)
-                else _client(self._parts, searcher)
+                else _make_client(self._resources, searcher)
             )
             for searcher in group.searchers
         }
-        moved = LocalGroup(record, group, self._parts, self._mailbox, clients)
+        reconfigured = LocalGroup(record, group, self._resources, self._mailbox, clients)
         kept = set(clients.values())
-        moved._left = tuple(c for c in self._clients.values() if c not in kept)
+        reconfigured._removed_clients = tuple(c for c in self._clients.values() if c not in kept)
         self._mailbox.tell(ReconfigureMessage(record.spec, group, clients))
-        _close(self._left)
-        return moved
+        _close_clients(self._removed_clients)
+        return reconfigured
 
     def search(self, search: Search) -> Future[Any]:
-        """Start a search; the future gets a `GroupAnswer`, `ServableVersions` or a typed error."""
+        """Start a search.
+
+        Returns:
+            Future of a `GroupAnswer` or `ServableVersions`; fails with a typed error.
+        """
         future: Future[Any] = Future()
-        self._parts.waiting.add(future)
-        future.add_done_callback(self._parts.waiting.discard)
+        self._resources.waiting.add(future)
+        future.add_done_callback(self._resources.waiting.discard)
         self._ask(SearchMessage(search, future), future)
         return future
 
     def abandon(self, search_id: str) -> None:
-        """Drop a search whose caller left."""
+        """Abandon a search whose caller disconnected."""
         self._mailbox.tell(AbandonMessage(search_id))
 
     def take_slot(self, request: SlotRequest) -> Future[str]:
-        """Ask for a slot; the future gets the searcher's id or a typed error.
+        """Request a slot for a booking.
+
+        Only searchers that hold the shard in this version are granted, even if the configuration
+        changes while the request waits, because the outcome of the booking is later looked up at
+        those searchers.
 
-        Only searchers that this version names for the shard are granted: a booking's outcome is
-        looked for at those, whatever the configuration becomes while it waits.
+        Returns:
+            Future of the searcher's id; fails with a typed error.
         """
         future: Future[str] = Future()
         holders = frozenset(
             (s.id, s.address) for s in self._group.searchers if request.shard in s.shards
         )
-        self._ask(SlotMessage(replace(request, holders=holders), future), future)
+        self._ask(RequestSlotMessage(replace(request, holders=holders), future), future)
         return future
 
     def release_slot(
         self, request_id: str, failure: Failure | None = None, retry_after: float | None = None
     ) -> None:
-        """Give a slot back and say how its dispatch ended."""
-        self._mailbox.tell(ReleaseMessage(request_id, failure, retry_after))
+        """Release a slot and report how its dispatch ended."""
+        self._mailbox.tell(ReleaseSlotMessage(request_id, failure, retry_after))
 
     def client(self, searcher_id: str) -> SearcherClient:
         """Return the client of one searcher."""
         return self._clients[searcher_id]
 
     def drain_noted(self, notice: DrainNotice) -> None:
-        """Take in what is known elsewhere of a leaving or returning searcher."""
+        """Apply a notice that a searcher is draining or in service again."""
         said_at = time.monotonic() - notice.age
         self._mailbox.tell(DrainMessage(notice.searcher, notice.draining, said_at, notice.listed))
 
     def retire(self) -> None:
-        """End the actor once nothing is open, so that no request is cut off."""
+        """Stop the actor once it has no open work, so that no request is interrupted."""
         self._mailbox.close(RetireMessage())
-        _close(self._left)
+        _close_clients(self._removed_clients)
 
     def _ask(self, message: Any, future: Future[Any]) -> None:
         if not self._mailbox.ask(message):
-            error = Unavailable("The group has just been replaced.", retry_after=_RETRY_AFTER)
+            error = Unavailable("The group no longer accepts requests.", retry_after=_RETRY_AFTER)
             future.set_exception(error)
 
 
-def _client(parts: GroupParts, searcher: SearcherSpec) -> SearcherClient:
-    return SearcherClient(parts.pools, searcher, parts.timers, parts.metrics)
+def _make_client(resources: GroupResources, searcher: SearcherSpec) -> SearcherClient:
+    return SearcherClient(resources.pools, searcher, resources.timers, resources.metrics)
 
 
 def _same_connections(old: SearcherSpec | None, new: SearcherSpec) -> bool:
     return old is not None and (old.address, old.connections) == (new.address, new.connections)
 
 
-def _close(clients: Iterable[SearcherClient]) -> None:
-    """Release clients that left one version ago, when their calls have surely ended."""
+def _close_clients(clients: Iterable[SearcherClient]) -> None:
+    """Close clients removed by the previous version change; their calls have ended by now."""
     for client in clients:
         client.__exit__()
 
@@ -192,20 +202,20 @@
     """All groups served by this instance.
 
     Args:
-        timers: Where actors set their wake-ups.
-        metrics: Where counters are kept.
-        incarnation: This run of the instance, part of all call ids.
+        timers: Schedules the wake-ups of the actors.
+        metrics: Registry for counters and timings.
+        incarnation: Identifies this run of the instance; part of all call ids.
     """
 
     def __init__(self, timers: Timers, metrics: Metrics, incarnation: str) -> None:
         self._incarnation = incarnation
         self._lock = threading.Lock()
-        self._numbers = itertools.count(1)
+        self._start_numbers = itertools.count(1)
         self._groups: dict[tuple[str, int], LocalGroup] = {}
         self._versions: dict[str, int] = {}
         self._pools = ConnectionPools(timers, metrics)
-        self._parts = GroupParts(self._pools, timers, metrics)
-        self._gave_up = False
+        self._resources = GroupResources(self._pools, timers, metrics)
+        self._is_aborted = False
 
     def __enter__(self) -> "LocalGroups":
         return self
@@ -218,64 +228,65 @@
         self._pools.close()
 
     def client(self, searcher: SearcherSpec) -> SearcherClient:
-        """Return a client of any searcher, within this instance's budget of connections."""
-        return _client(self._parts, searcher)
+        """Return a client for any searcher, subject to this instance's connection limits."""
+        return _make_client(self._resources, searcher)
 
     def listen_for_drains(self, listener: Callable[[DrainNotice], None]) -> None:
-        """Have a callable told of searchers that said that they are leaving or back."""
-        self._parts.drain_listeners.append(listener)
+        """Register a callable for reports that a searcher is draining or in service again."""
+        self._resources.drain_listeners.append(listener)
 
     def drain_noted(self, notice: DrainNotice) -> None:
-        """Take in what is known elsewhere of a searcher, if its group runs here."""
+        """Apply a notice about a searcher if its group runs on this instance."""
         with self._lock:
             group = self._groups.get((notice.service, notice.group))
         if group is not None:
             group.drain_noted(notice)
 
     def give_up(self) -> None:
-        """End everything that is open because the process is about to exit."""
-        self._gave_up = True
+        """Close all connections and cancel all open searches before the process exits."""
+        self._is_aborted = True
         self._pools.close()
-        for future in tuple(self._parts.waiting):
+        for future in tuple(self._resources.waiting):
             future.cancel()
 
     def get(self, record: ServiceRecord, index: int) -> LocalGroup:
-        """Return a group of a service at this version of it, or at a newer one it has gone over to.
+        """Return a group of a service at the version of the record, or at a newer one in force.
 
         Raises:
-            VersionGone: A newer version of the service has no such group.
+            Unavailable: The process is about to exit.
+            VersionGone: The group isn't running, and a newer version of the service is in force.
         """
         assert record.spec is not None
-        if self._gave_up:
-            raise Unavailable("The instance exits.", retry_after=_RETRY_AFTER)
+        if self._is_aborted:
+            raise Unavailable("The instance is shutting down.", retry_after=_RETRY_AFTER)
         with self._lock:
             group = self._groups.get((record.name, index))
             if group is None or not group.is_alive:
                 if record.version < self._versions.get(record.name, 0):
                     raise VersionGone(f"Service '{record.name}' has a newer version in force.")
-                prefix = f"{self._incarnation}-{next(self._numbers)}"
-                cut = cut_groups(record.spec)[index]
-                group = LocalGroup.start(record, cut, self._parts, prefix)
+                prefix = f"{self._incarnation}-{next(self._start_numbers)}"
+                definition = cut_groups(record.spec)[index]
+                group = LocalGroup.start(record, definition, self._resources, prefix)
                 self._groups[record.name, index] = group
             elif group.version < record.version:
-                group = group.moved_to(record, cut_groups(record.spec)[index])
+                group = group.reconfigure(record, cut_groups(record.spec)[index])
                 self._groups[record.name, index] = group
             return group
 
     def records_applied(self, records: tuple[ServiceRecord, ...]) -> None:
-        """Have the groups of services that changed go over to the new version at once."""
+        """Switch the running groups of changed services to their new version."""
         with self._lock:
             for record in records:
                 self._versions[record.name] = record.version
                 for name, index in [key for key in self._groups if key[0] == record.name]:
-                    self._go_over(record, name, index)
+                    self._update_group(record, name, index)
 
-    def _go_over(self, record: ServiceRecord, name: str, index: int) -> None:
+    def _update_group(self, record: ServiceRecord, name: str, index: int) -> None:
         group = self._groups[name, index]
         if group.version >= record.version:
             return
-        cut = cut_groups(record.spec) if record.spec else ()
-        if index < len(cut):
-            self._groups[name, index] = group.moved_to(record, cut[index])
+        definitions = cut_groups(record.spec) if record.spec else ()
+        if index < len(definitions):
+            self._groups[name, index] = group.reconfigure(record, definitions[index])
         else:
             self._groups.pop((name, index)).retire()
--- a/packages/limpethollow-node/src/limpethollow_node/process/lifecycles.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/lifecycles.py
@@ -1,4 +1,4 @@
-"""The states of one run of an instance, and the graceful shutdown carried out."""
+"""Lifecycle of an instance, from startup to the end of its graceful shutdown."""
 
 import os
 import select
@@ -31,22 +31,24 @@
 EXIT_FORCED = 4
 
 _POLL_SECONDS = 0.02
-_TELL_WORKERS = 8
+_NOTIFY_WORKERS = 8
 _WAKEUP_BYTES = 64
 
 
 @dataclass(slots=True, frozen=True)
 class ShutdownHooks:
-    """What the shutdown uses of the instance.
+    """Functions of the instance that the shutdown calls.
 
     Attributes:
-        refuse_tokens: Takes no new booking token from now on.
-        tell_peer: Tells one peer; returns for how long its callers may hold the address.
-        peers: Ids of the other instances, as listed now.
-        held: Seconds for which callers may hold the address from routes given here.
-        longest_ttl: Longest time to live of a route answer in force.
-        open_work: What is open.
-        give_up: Gives everything that still waits its typed answer.
+        refuse_tokens: Stops accepting new booking tokens.
+        tell_peer: Notifies one peer that this instance is leaving; returns the seconds for which
+            callers of that peer may still hold this instance's address.
+        peers: Returns the ids of the other instances that are currently listed.
+        held: Returns the seconds for which callers may still hold this instance's address from
+            route answers that it gave itself.
+        longest_ttl: Returns the longest time to live of a route answer in force.
+        open_work: Returns the open work.
+        give_up: Ends everything that is still waiting with a typed answer.
     """
 
     refuse_tokens: Callable[[], None]
@@ -59,14 +61,15 @@
 
 
 class SignalQueue:
-    """Brings signals from their handlers to the main thread that waits for them.
-
-    Two failures are guarded against, both of which show as a signal without effect. A handler runs
-    between two steps of the main thread, which may hold the lock of an `Event` just then, so that
-    `Event.set` would wait for itself; the put of a `SimpleQueue` is reentrant. And a signal that
-    is delivered to another thread, or just before the main thread blocks, only leaves a mark which
-    a blocked main thread never looks at; the wake-up descriptor is written by the interpreter in
-    whatever thread it is, and ends the `select`.
+    """Passes signals from their handlers to the main thread that waits for them.
+
+    Guards against two failures in which a signal would have no effect:
+
+    - A handler runs between two bytecode instructions of the main thread, which may hold the lock
+      of an `Event` at that moment, so `Event.set` would deadlock. `SimpleQueue.put` is reentrant.
+    - A signal that is delivered to another thread, or just before the main thread blocks, only sets
+      a flag that a blocked main thread never checks. The interpreter writes to the wake-up file
+      descriptor in whichever thread receives the signal, which ends the `select`.
     """
 
     def __init__(self) -> None:
@@ -76,18 +79,20 @@
         self._writer.setblocking(False)
 
     def __enter__(self) -> "SignalQueue":
-        self._before = signal.set_wakeup_fd(self._writer.fileno(), warn_on_full_buffer=False)
+        self._previous_wakeup_fd = signal.set_wakeup_fd(
+            self._writer.fileno(), warn_on_full_buffer=False
+        )
         return self
 
     def __exit__(self, *_: object) -> None:
-        signal.set_wakeup_fd(self._before)
+        signal.set_wakeup_fd(self._previous_wakeup_fd)
 
     def put(self) -> None:
-        """Note a signal; safe in signal handlers."""
+        """Record a signal; safe to call in signal handlers."""
         self._queue.put(None)
 
     def wait(self, seconds: float | None) -> bool:
-        """Wait for a signal, in the main thread; false where none came in time."""
+        """Wait for a signal in the main thread; return False if none arrives in time."""
         while self._queue.empty():
             readable, _, _ = select.select([self._reader], [], [], seconds)
             if readable:
@@ -99,11 +104,11 @@
 
 
 class Lifecycle:
-    """Holds the state of the run and carries the shutdown's actions out.
+    """Tracks the state of the instance and executes the actions of its shutdown.
 
     Args:
-        linger: Seconds to stay useful at least.
-        bound: Seconds from the first signal to the exit at the latest.
+        linger: Minimum number of seconds for which the instance keeps serving during shutdown.
+        bound: Maximum number of seconds from the first signal to the exit.
     """
 
     def __init__(self, linger: float, bound: float) -> None:
@@ -114,7 +119,7 @@
 
     @property
     def state(self) -> InstanceState:
-        """The current state."""
+        """Current state of the instance."""
         return self._shutdown.state
 
     @property
@@ -123,16 +128,16 @@
         return self._shutdown.asks_to_close
 
     def started(self) -> None:
-        """Note that all listeners are bound."""
+        """Record that all listeners are bound."""
         with self._lock:
             self._shutdown.started(time.monotonic())
 
     def ask_to_leave(self) -> None:
-        """Begin the graceful shutdown; a second call ends its waiting. Safe in signal handlers."""
+        """Start the graceful shutdown; a second call ends its wait. Safe in signal handlers."""
         self._signals.put()
 
     def run(self, hooks: ShutdownHooks) -> None:
-        """Block until the shutdown was asked for, then until the instance may close."""
+        """Block until a shutdown is requested and the instance may close."""
         with self._signals:
             self._signals.wait(None)
             self._shut_down(hooks)
@@ -140,15 +145,15 @@
     def _shut_down(self, hooks: ShutdownHooks) -> None:
         events.STOPPING.log()
         _force_exit_after(self._bound + FORCED_EXIT_SECONDS)
-        with ThreadPoolExecutor(_TELL_WORKERS, thread_name_prefix="tell-peer") as tellers:
-            self._carry_out(self._asked(hooks), hooks, tellers)
+        with ThreadPoolExecutor(_NOTIFY_WORKERS, thread_name_prefix="tell-peer") as executor:
+            self._execute(self._handle_shutdown_request(hooks), hooks, executor)
             while self.state is not InstanceState.EXITED:
                 if self._signals.wait(_POLL_SECONDS):
                     _force_exit_after(ABORT_RESERVE_SECONDS + FORCED_EXIT_SECONDS)
-                    self._carry_out(self._asked(hooks), hooks, tellers)
-                self._carry_out(self._tick(hooks), hooks, tellers)
+                    self._execute(self._handle_shutdown_request(hooks), hooks, executor)
+                self._execute(self._tick(hooks), hooks, executor)
 
-    def _asked(self, hooks: ShutdownHooks) -> list[ShutdownAction]:
+    def _handle_shutdown_request(self, hooks: ShutdownHooks) -> list[ShutdownAction]:
         held, ttl, peers = hooks.held(), hooks.longest_ttl(), hooks.peers()
         with self._lock:
             now = time.monotonic()
@@ -160,32 +165,32 @@
             actions = self._shutdown.peers_listed(peers)
             return actions + self._shutdown.tick(work, time.monotonic())
 
-    def _carry_out(
-        self, actions: list[ShutdownAction], hooks: ShutdownHooks, tellers: ThreadPoolExecutor
+    def _execute(
+        self, actions: list[ShutdownAction], hooks: ShutdownHooks, executor: ThreadPoolExecutor
     ) -> None:
         for action in actions:
             match action:
                 case RefuseTokens():
                     hooks.refuse_tokens()
                 case TellPeer(peer_id):
-                    tellers.submit(self._tell, peer_id, hooks)
+                    executor.submit(self._notify_peer, peer_id, hooks)
                 case GiveUp(reason):
                     events.BOUND_REACHED.log(reason=reason, open=hooks.open_work().requests)
                     hooks.give_up()
                 case Exit(reason):
                     events.DRAINED.log(reason=reason)
 
-    def _tell(self, peer_id: str, hooks: ShutdownHooks) -> None:
-        """Tell one peer, and again while the shutdown wants it."""
-        again = True
-        while again:
+    def _notify_peer(self, peer_id: str, hooks: ShutdownHooks) -> None:
+        """Notify one peer, and retry for as long as the shutdown requires it."""
+        retry = True
+        while retry:
             try:
                 held = hooks.tell_peer(peer_id)
             except Exception as error:
-                # Whatever it was: a teller that ends unseen would hold the exit until the bound.
+                # Catch all errors: if this task ended unnoticed, the exit would wait for the bound.
                 events.PEER_NOT_TOLD.log(peer=peer_id, error=repr(error))
                 with self._lock:
-                    again = bool(self._shutdown.peer_not_told(peer_id, time.monotonic()))
+                    retry = bool(self._shutdown.peer_not_told(peer_id, time.monotonic()))
                 time.sleep(_POLL_SECONDS)
                 continue
             with self._lock:
@@ -194,39 +199,39 @@
 
 
 class RouteBook:
-    """Answers which instances callers may use, and remembers until when they may hold them.
+    """Selects instances for route answers and records how long callers may hold them.
 
-    One lock covers the choice and its note. Otherwise a notice of leaving could be taken in
-    between: the leaving instance would be told that nobody holds its address, and the caller that
-    gets it a moment later would find the instance gone.
+    One lock covers both the selection and its record. Otherwise a notice that an instance is
+    leaving could be processed in between: that instance would be told that no caller holds its
+    address, and a caller that receives the address a moment later would find the instance gone.
 
     Args:
-        members: The instances.
+        members: Known instances.
     """
 
     def __init__(self, members: MemberKeeper) -> None:
         self._members = members
-        self._given = RoutesGiven()
+        self._route_holds = RoutesGiven()
         self._lock = threading.Lock()
 
     def answer(self, ttl: float) -> tuple[InstanceInfo, ...]:
-        """Return the instances for a route answer that callers keep for `ttl` seconds."""
+        """Return the instances for a route answer that callers may hold for `ttl` seconds."""
         with self._lock:
             instances = self._members.routable()
-            self._given.answered(tuple(i.id for i in instances), ttl, time.monotonic())
+            self._route_holds.answered(tuple(i.id for i in instances), ttl, time.monotonic())
         return instances
 
     def peer_leaves(self, instance_id: str, incarnation: str) -> float:
-        """Name an instance in no further answer; return how long callers may hold it still."""
+        """Exclude a leaving instance from answers; return how long callers may still hold it."""
         with self._lock:
             now = time.monotonic()
             self._members.heard(instance_id, incarnation, True)
-            self._given.forget_expired(now)
-            return self._given.held(instance_id, now)
+            self._route_holds.forget_expired(now)
+            return self._route_holds.held(instance_id, now)
 
 
 def _force_exit_after(seconds: float) -> None:
-    """End the process whatever hangs, such as a library that waits for a frozen peer to close."""
+    """Exit after a delay even if something hangs, such as a library waiting for a frozen peer."""
     timer = threading.Timer(seconds, _force_exit)
     timer.daemon = True
     timer.start()
--- a/tests/system/test_command_line.py
+++ b/tests/system/test_command_line.py
@@ -99,7 +99,7 @@
         assert shell("confirm", plan["id"])[0] == 0
         code, _, err = shell("search", "finder")
         assert code == 1
-        assert "There is no service 'finder'." in err
+        assert "Service 'finder' does not exist." in err
 
     def test_human_plan_says_what_would_change_and_how_to_carry_it_out(self, shell, service_file):
         code, out, _ = shell("plan", "--file", service_file("desk"))
