--- a/packages/limpethollow-node/src/limpethollow_node/process/links.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/links.py
@@ -1,4 +1,4 @@
-"""The links to all peers, opened when first needed."""
+"""Connections to peers, opened on first use."""
 
 import threading
 import time
@@ -17,22 +17,25 @@
 
 T = TypeVar("T")
 
-_RETRY_AFTER = 0.1
+_RETRY_AFTER_SECONDS = 0.1
 
 
 class NotDialled(PeerUnreachable):
-    """The peer failed to answer a moment ago and was not tried again: this is no new evidence."""
+    """No connection was attempted: the last one failed recently or another one is in progress.
+
+    This says nothing new about whether the peer is alive.
+    """
 
 
 class PeerLinks:
-    """Sends requests to peers by their id.
+    """Sends requests to peers by id.
 
     Args:
-        members: Where peers' addresses come from.
-        key: The peers' shared key.
-        hello: Returns who we are.
-        rng: Source for jitter.
-        metrics: Where lost requests are counted.
+        members: Provides the addresses of peers.
+        key: Key shared by all peers.
+        hello: Returns the hello message of this instance.
+        rng: Random source for the jitter of connection retries.
+        metrics: Counts the lost requests.
     """
 
     def __init__(
@@ -50,7 +53,7 @@
         self._closed = False
         self._rng = rng
         self._metrics = metrics
-        self._lines: dict[str, _Line] = {}
+        self._entries: dict[str, _LinkEntry] = {}
 
     def __enter__(self) -> "PeerLinks":
         return self
@@ -59,110 +62,119 @@
         self.give_up()
 
     def give_up(self) -> None:
-        """Close all links and open none any more; requests that still wait on them fail typed."""
+        """Close all links for good; requests still waiting on them fail with a typed error."""
         with self._lock:
             self._closed = True
-            links = tuple(line.link for line in self._lines.values())
+            links = tuple(entry.link for entry in self._entries.values())
         for link in links:
             if link is not None:
                 link.close()
 
     def request(self, peer_id: str, kind: str, body: Any, reply: type[T], timeout: float) -> T:
-        """Send a request to a peer and wait for its typed reply.
+        """Send a request to a peer and return its decoded reply.
 
         Raises:
-            PeerUnreachable: Nothing was sent.
-            PeerLost: The peer may have handled the request.
-            LimpethollowError: The peer answered with a typed error.
+            PeerUnreachable: The request was not sent.
+            PeerLost: The request may have been handled by the peer.
+            LimpethollowError: The peer replied with a typed error.
         """
         deadline = time.monotonic() + timeout
         try:
-            link = self._link(peer_id, deadline)
+            link = self._get_link(peer_id, deadline)
         except NotDialled:
             self._metrics.count("peer_requests_lost", "not_dialled")
             raise
         except PeerUnreachable:
-            self._failed(peer_id, "unreachable")
+            self._record_failure(peer_id, "unreachable")
             raise
         try:
-            answer = link.request(kind, body, max(deadline - time.monotonic(), 0.0))
+            response = link.request(kind, body, max(deadline - time.monotonic(), 0.0))
         except PeerLost as error:
             if error.is_slow:
                 self._metrics.count("peer_requests_lost", "slow")
                 raise
-            self._failed(peer_id, "lost")
-            self._drop(peer_id, link)
+            self._record_failure(peer_id, "lost")
+            self._discard_link(peer_id, link)
             raise
         except PeerUnreachable:
-            self._failed(peer_id, "closed")
-            self._drop(peer_id, link)
+            self._record_failure(peer_id, "closed")
+            self._discard_link(peer_id, link)
             raise
-        return self._typed(peer_id, answer, reply)
+        return self._decode_reply(peer_id, response, reply)
 
-    def _typed(self, peer_id: str, answer: Any, reply: type[T]) -> T:
-        """Read a reply; one that can't be read says nothing of what the peer did."""
+    def _decode_reply(self, peer_id: str, response: Any, reply: type[T]) -> T:
+        """Decode a reply; if that fails, it is unknown whether the peer handled the request."""
         try:
-            return convert(answer, reply)
+            return convert(response, reply)
         except BadRequest as error:
             self._metrics.count("peer_requests_lost", "bad_reply")
-            raise PeerLost(f"The reply of '{peer_id}' can't be read: {error.message}") from None
+            raise PeerLost(
+                f"Reply from '{peer_id}' could not be decoded: {error.message}"
+            ) from None
 
-    def _failed(self, peer_id: str, reason: str) -> None:
+    def _record_failure(self, peer_id: str, reason: str) -> None:
         self._metrics.count("peer_requests_lost", reason)
         self._members.unreachable(peer_id)
 
-    def _link(self, peer_id: str, deadline: float) -> PeerLink:
+    def _get_link(self, peer_id: str, deadline: float) -> PeerLink:
         with self._lock:
-            line = self._lines.setdefault(peer_id, _Line(self._rng))
-        if not line.lock.acquire(timeout=max(deadline - time.monotonic(), 0.0)):
-            raise NotDialled("The peer is being dialled.", retry_after=_RETRY_AFTER)
+            entry = self._entries.setdefault(peer_id, _LinkEntry(self._rng))
+        if not entry.lock.acquire(timeout=max(deadline - time.monotonic(), 0.0)):
+            raise NotDialled(
+                "Another thread is already connecting to the peer.",
+                retry_after=_RETRY_AFTER_SECONDS,
+            )
         try:
-            if line.link is None or not line.link.is_open:
-                line.link = self._dial(peer_id, line.dialling)
-            return line.link
+            if entry.link is None or not entry.link.is_open:
+                entry.link = self._dial(peer_id, entry.backoff)
+            return entry.link
         finally:
-            line.lock.release()
+            entry.lock.release()
 
-    def _dial(self, peer_id: str, dialling: Dialling) -> PeerLink:
-        wait = dialling.wait(time.monotonic())
+    def _dial(self, peer_id: str, backoff: Dialling) -> PeerLink:
+        wait = backoff.wait(time.monotonic())
         if wait > 0:
-            raise NotDialled("The peer did not answer just now.", retry_after=wait)
+            raise NotDialled("A recent connection attempt to the peer failed.", retry_after=wait)
         info = self._members.get(peer_id)
         if self._closed or info is None:
-            raise PeerUnreachable(f"No instance '{peer_id}' is listed, or this one is leaving.")
+            raise PeerUnreachable(
+                f"Instance '{peer_id}' is not known, or this instance is shutting down."
+            )
         try:
-            link = PeerLink(info.peer_address, self._key, self._hello(), self._dialled, peer_id)
+            link = PeerLink(
+                info.peer_address, self._key, self._hello(), self._dialled_hello_received, peer_id
+            )
         except PeerUnreachable:
-            dialling.failed(time.monotonic())
+            backoff.failed(time.monotonic())
             raise
-        dialling.succeeded()
+        backoff.succeeded()
         return link
 
     def greeted(self, hello: Hello) -> None:
-        """Take in a peer's word on itself."""
+        """Record the hello of a peer that opened a link to this instance."""
         self._members.greeted(hello)
 
-    def _dialled(self, hello: Hello) -> None:
-        """Take in the word of whoever answers at a peer's address: its current run."""
+    def _dialled_hello_received(self, hello: Hello) -> None:
+        """Record the hello of the process at a dialled address, which is the peer's current run."""
         self._members.greeted(hello, dialled=True)
 
-    def _drop(self, peer_id: str, link: PeerLink) -> None:
-        """Use a link no more: it may be silent for good while a new one works.
+    def _discard_link(self, peer_id: str, link: PeerLink) -> None:
+        """Stop using a link, as it may stay unresponsive while a new one would work.
 
-        It is closed once nothing is open on it, so that what still waits there keeps its chance.
+        It is closed only when no request is open on it, so that pending replies can still arrive.
         """
         with self._lock:
-            line = self._lines.get(peer_id)
-            if line is not None and line.link is link:
-                line.link = None
+            entry = self._entries.get(peer_id)
+            if entry is not None and entry.link is link:
+                entry.link = None
                 events.PEER_LOST.log(peer=peer_id)
         link.retire()
 
 
-class _Line:
-    """The link to one peer and the history of dialling it."""
+class _LinkEntry:
+    """The link to one peer, and the backoff of attempts to open it."""
 
     def __init__(self, rng: Random) -> None:
         self.lock = threading.Lock()
-        self.dialling = Dialling(rng)
+        self.backoff = Dialling(rng)
         self.link: PeerLink | None = None
--- a/packages/limpethollow-node/src/limpethollow_node/process/logs.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/logs.py
@@ -1,22 +1,22 @@
-"""JSON logs on standard error."""
+"""JSON logging to standard error."""
 
 import logging
 import sys
 
 from pythonjsonlogger.json import JsonFormatter
 
-_FIELDS = "%(asctime)s %(levelname)s %(name)s %(message)s"
+_LINE_FORMAT = "%(asctime)s %(levelname)s %(name)s %(message)s"
 
 
 def start_logs(level: str, instance: str) -> None:
-    """Send all log lines to standard error as JSON.
+    """Write log records to standard error as JSON lines.
 
     Args:
-        level: Name of the lowest level shown.
-        instance: Id written into every line.
+        level: Name of the lowest level that is logged.
+        instance: Id of this instance, added to every line.
     """
     handler = logging.StreamHandler(sys.stderr)
-    handler.setFormatter(JsonFormatter(_FIELDS, static_fields={"instance": instance}))
+    handler.setFormatter(JsonFormatter(_LINE_FORMAT, static_fields={"instance": instance}))
     root = logging.getLogger()
     root.handlers[:] = [handler]
     root.setLevel(logging.WARNING)
--- a/packages/limpethollow-node/src/limpethollow_node/process/main.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/main.py
@@ -1,4 +1,4 @@
-"""Command line of the daemon."""
+"""Command line of the `limpethollow-node` daemon."""
 
 import argparse
 import json
@@ -16,13 +16,13 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run one instance until it is asked to stop.
+    """Run one instance until it receives SIGTERM or SIGINT.
 
     Returns:
-        0 after a graceful shutdown, 2 for a mistake in the settings, 3 where a listener could not
-        be bound; the process itself exits with 4 where closing hung and the exit was forced.
+        0 after a graceful shutdown, 2 if the settings are invalid, 3 if a listener could not be
+        bound. The process exits with 4 if closing hangs and the exit is forced.
     """
-    options = _parser().parse_args(arguments)
+    options = _make_parser().parse_args(arguments)
     try:
         settings = NodeSettings.load(options.settings)
     except SettingsError as error:
@@ -34,7 +34,7 @@
     return _serve(settings)
 
 
-def _parser() -> argparse.ArgumentParser:
+def _make_parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(
         prog="limpethollow-node", description="Runs one limpethollow instance."
     )
@@ -46,8 +46,8 @@
 def _serve(settings: NodeSettings) -> int:
     try:
         node = Node(settings)
-        # Before the listeners are bound: a request may arrive as soon as they are, and a signal
-        # without its handler would cut it off.
+        # Installed before the listeners are bound: requests may arrive from then on, and a signal
+        # without a handler would abort them.
         signal.signal(signal.SIGTERM, lambda *_: node.lifecycle.ask_to_leave())
         signal.signal(signal.SIGINT, lambda *_: node.lifecycle.ask_to_leave())
         with node:
--- a/packages/limpethollow-node/src/limpethollow_node/process/members.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/members.py
@@ -1,4 +1,4 @@
-"""Keeps the view of the other instances current."""
+"""Keeps the list of instances and their states up to date."""
 
 import threading
 import time
@@ -14,36 +14,38 @@
 from limpethollow_wire.instances import InstanceInfo, SearcherListing
 from limpethollow_wire.peers import Hello, ListChange
 
-_FIRST_PAUSE = 0.1
-_LONGEST_PAUSE = 5.0
-_IDLE_POLL = 0.5
+_INITIAL_BACKOFF_SECONDS = 0.1
+_MAX_BACKOFF_SECONDS = 5.0
+_IDLE_POLL_SECONDS = 0.5
 
 
 class MemberKeeper:
-    """Guards the membership view with a lock, and follows the platform's list while on duty.
+    """Thread-safe membership view that also watches the platform's list of instances.
+
+    Only some instances watch the platform; see `should_watch`.
 
     Args:
         own_id: Id of this instance.
-        failure_domain: Where it runs.
-        platform: The platform's client.
-        rng: Source for jitter.
+        failure_domain: Failure domain that this instance runs in.
+        platform: Client of the platform.
+        rng: Random source for jitter.
     """
 
     def __init__(
         self, own_id: str, failure_domain: str, platform: PlatformClient, rng: Random
     ) -> None:
         self._own_id = own_id
-        self._domain = failure_domain
+        self._failure_domain = failure_domain
         self._platform = platform
         self._lock = threading.Lock()
         self._view = Membership(own_id)
-        self._duty = WatchDuty(own_id, failure_domain, time.monotonic(), rng)
-        self._began: dict[str, tuple[str, float]] = {}
-        self._backoff = Backoff(_FIRST_PAUSE, _LONGEST_PAUSE, rng)
+        self._watch_role = WatchDuty(own_id, failure_domain, time.monotonic(), rng)
+        self._started_at: dict[str, tuple[str, float]] = {}
+        self._backoff = Backoff(_INITIAL_BACKOFF_SECONDS, _MAX_BACKOFF_SECONDS, rng)
         self._listeners: list[Callable[[], None]] = []
         self._searcher_listeners: list[Callable[[tuple[SearcherListing, ...]], None]] = []
         self._stopped = threading.Event()
-        self._thread = threading.Thread(target=self._follow, name="members", daemon=True)
+        self._thread = threading.Thread(target=self._watch_platform, name="members", daemon=True)
 
     def __enter__(self) -> "MemberKeeper":
         self._thread.start()
@@ -59,7 +61,7 @@
 
     @property
     def revision(self) -> int:
-        """Revision of the list, -1 before the first."""
+        """Revision of the list, -1 before a list was received."""
         with self._lock:
             return self._view.revision
 
@@ -70,18 +72,20 @@
             return self._view.has_peers
 
     def listen(self, listener: Callable[[], None]) -> None:
-        """Have a callable told that the list changed."""
+        """Call a function whenever the list changes."""
         self._listeners.append(listener)
 
     def listen_for_searchers(self, listener: Callable[[tuple[SearcherListing, ...]], None]) -> None:
-        """Have a callable told of the searchers in each list that is read here."""
+        """Call a function with the searchers of each list that this instance reads itself."""
         self._searcher_listeners.append(listener)
 
     def listed(self, change: ListChange) -> None:
-        """Take in the list or a change of it, from the platform or from a peer."""
+        """Apply a full list or a change, received from the platform or from a peer."""
         with self._lock:
             applied = self._view.listed(change, time.monotonic())
-            self._began = {i: began for i, began in self._began.items() if self._view.get(i)}
+            self._started_at = {
+                i: started_at for i, started_at in self._started_at.items() if self._view.get(i)
+            }
         if not applied:
             return
         events.MEMBERS_CHANGED.log(revision=change.revision, changed=len(change.listed))
@@ -89,54 +93,54 @@
             listener()
 
     def changes_since(self, revision: int) -> ListChange:
-        """Return what the holder of a revision of the list lacks."""
+        """Return the changes since a revision, or the whole list if they are no longer kept."""
         with self._lock:
             return self._view.changes_since(revision)
 
     def greeted(self, hello: Hello, dialled: bool = False) -> None:
-        """Take in an instance's hello."""
+        """Record the hello of an instance."""
         now = time.monotonic()
         with self._lock:
             self._view.greeted(hello, now, dialled)
             if self._view.incarnation(hello.instance) == hello.incarnation:
-                self._began[hello.instance] = (hello.incarnation, now - hello.age)
+                self._started_at[hello.instance] = (hello.incarnation, now - hello.age)
 
     def heard(self, instance_id: str, incarnation: str, leaving: bool) -> None:
-        """Take in an instance's word on itself."""
+        """Record the incarnation of an instance and whether it is shutting down."""
         with self._lock:
             self._view.heard(instance_id, incarnation, leaving, time.monotonic())
 
     def age(self, instance_id: str, incarnation: str) -> float | None:
-        """Return the age of an instance's run in seconds, None where it is not known."""
+        """Return how long an instance has been running, in seconds; None if unknown."""
         with self._lock:
-            heard, began = self._began.get(instance_id, ("", 0.0))
-        return time.monotonic() - began if heard == incarnation else None
+            heard, started_at = self._started_at.get(instance_id, ("", 0.0))
+        return time.monotonic() - started_at if heard == incarnation else None
 
     def answered(self, instance_id: str) -> None:
-        """Note that an instance replied to a request of ours."""
+        """Record that an instance replied to a request from this one."""
         with self._lock:
             self._view.answered(instance_id, time.monotonic())
 
     def asked(self, instance_id: str, relay: bool) -> None:
-        """Note that an instance sent us a request, as our relay or not."""
+        """Record a request from another instance, sent as the relay of this one or not."""
         now = time.monotonic()
         with self._lock:
             self._view.asked(instance_id, now)
             if relay:
-                self._duty.relay_heard(now)
+                self._watch_role.relay_heard(now)
 
     def unreachable(self, instance_id: str) -> None:
-        """Note that a link to an instance failed."""
+        """Record that a link to an instance failed."""
         with self._lock:
             self._view.unreachable(instance_id, time.monotonic())
 
     def incarnation(self, instance_id: str) -> str:
-        """Return the run an instance last named, empty where not known."""
+        """Return the last known incarnation of an instance; empty if unknown."""
         with self._lock:
             return self._view.incarnation(instance_id)
 
     def get(self, instance_id: str) -> InstanceInfo | None:
-        """Return an instance as listed."""
+        """Return a known instance; None if the id is not known."""
         with self._lock:
             return self._view.get(instance_id)
 
@@ -157,7 +161,7 @@
             return self._view.everyone(time.monotonic())
 
     def peers(self) -> tuple[InstanceInfo, ...]:
-        """Return all known instances but this one."""
+        """Return all known instances except this one."""
         with self._lock:
             return self._view.peers(time.monotonic())
 
@@ -167,40 +171,40 @@
             return self._view.routable(time.monotonic())
 
     def relays(self, failure_domain: str) -> tuple[str, ...]:
-        """Return the ids of a failure domain's relays, best first."""
+        """Return the ids of the relays of a failure domain, preferred first."""
         return relays_of(failure_domain, self.routable())
 
     def followers(self) -> tuple[str, ...]:
-        """Return the peers that this instance feeds: none where it is no relay."""
+        """Return the peers that this instance relays updates to; none if it is not a relay."""
         live = self.routable()
         with self._lock:
-            if not self._duty.is_relay(live):
+            if not self._watch_role.is_relay(live):
                 return ()
-        inside = [i.id for i in live if i.failure_domain == self._domain]
-        return tuple(i for i in inside if i != self._own_id)
+        same_domain = [i.id for i in live if i.failure_domain == self._failure_domain]
+        return tuple(i for i in same_domain if i != self._own_id)
 
     def should_watch(self) -> bool:
-        """Return whether this instance reads the platform itself."""
+        """Return whether this instance has to watch the platform itself."""
         live = self.routable()
         with self._lock:
-            return self._duty.should_watch(live, time.monotonic())
+            return self._watch_role.should_watch(live, time.monotonic())
 
     def should_load(self) -> bool:
-        """Return whether a fresh instance reads the whole configuration from the platform."""
+        """Return whether a new instance loads the whole configuration from the platform."""
         with self._lock:
-            return self._duty.should_load(self._view.has_peers, time.monotonic())
+            return self._watch_role.should_load(self._view.has_peers, time.monotonic())
 
-    def _follow(self) -> None:
+    def _watch_platform(self) -> None:
         while not self._stopped.is_set():
             if not self.should_watch():
-                self._stopped.wait(_IDLE_POLL)
+                self._stopped.wait(_IDLE_POLL_SECONDS)
                 continue
             try:
-                answer = self._platform.instances(self.revision)
+                response = self._platform.instances(self.revision)
             except LimpethollowError:
                 self._stopped.wait(self._backoff.failed())
                 continue
             self._backoff.succeeded()
-            self.listed(ListChange(WHOLE_LIST, answer.revision, answer.instances))
+            self.listed(ListChange(WHOLE_LIST, response.revision, response.instances))
             for listener in self._searcher_listeners:
-                listener(answer.searchers)
+                listener(response.searchers)
--- a/packages/limpethollow-node/src/limpethollow_node/process/node.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/node.py
@@ -1,4 +1,4 @@
-"""One instance: all its parts, started and stopped in order."""
+"""Wires the components of one instance together and runs them."""
 
 import secrets
 from contextlib import ExitStack
@@ -32,18 +32,18 @@
 from limpethollow_wire.settings import NodeSettings
 
 _OPERATOR_THREADS = 4
-_PEER_TIMEOUT = 0.5
+_PEER_TIMEOUT_SECONDS = 0.5
 
 
 class Node:
-    """One run of an instance.
+    """One run of an instance; its components are started and stopped in order.
 
     Usage:
         with Node(settings) as node:
             node.run()
 
     Args:
-        settings: The checked settings.
+        settings: The validated settings.
     """
 
     def __init__(self, settings: NodeSettings) -> None:
@@ -54,11 +54,11 @@
         self._lifecycle = Lifecycle(settings.shutdown.linger, settings.shutdown.bound)
         self._stack = ExitStack()
         self._metrics = Metrics()
-        self._build()
+        self._create_components()
 
     def __enter__(self) -> "Node":
-        for part in self._parts:
-            self._stack.enter_context(part)
+        for component in self._components:
+            self._stack.enter_context(component)
         self._lifecycle.started()
         events.STARTED.log(incarnation=self._incarnation, caller=self._callers.address)
         return self
@@ -69,7 +69,7 @@
 
     @property
     def addresses(self) -> dict[str, str]:
-        """The addresses that were bound, by listener."""
+        """The bound address of each listener, by listener name."""
         return {
             "caller": self._callers.address,
             "operator": self._operators.address,
@@ -78,25 +78,25 @@
 
     @property
     def lifecycle(self) -> Lifecycle:
-        """The state of the run."""
+        """The lifecycle of this run."""
         return self._lifecycle
 
     def run(self) -> None:
-        """Serve until asked to leave, then leave gracefully."""
+        """Serve until shutdown is requested, then shut down gracefully."""
         self._lifecycle.run(
             ShutdownHooks(
                 refuse_tokens=self._refuse_tokens,
-                tell_peer=self._tell_peer,
+                tell_peer=self._notify_peer,
                 peers=lambda: tuple(peer.id for peer in self._members.peers()),
                 held=lambda: self._routes.peer_leaves(self._id, self._incarnation),
                 longest_ttl=self._longest_ttl,
                 open_work=self._open_work,
-                give_up=self._give_up,
+                give_up=self._abort_open_requests,
             )
         )
 
     def status(self) -> InstanceStatus:
-        """Return what this instance says of itself."""
+        """Return the status that this instance reports."""
         return InstanceStatus(
             id=self._id,
             incarnation=self._incarnation,
@@ -110,9 +110,9 @@
     def _is_refusing(self) -> bool:
         return self._lifecycle.state is InstanceState.SERVING and self._configs.is_refusing
 
-    def _build(self) -> None:
+    def _create_components(self) -> None:
         settings, metrics = self._settings, self._metrics
-        keys, where = settings.keys, settings.listeners
+        keys, listener_settings = settings.keys, settings.listeners
         platform = PlatformClient(settings.platform, metrics)
         timers = Timers()
         self._members = MemberKeeper(
@@ -124,7 +124,7 @@
         self._groups = LocalGroups(timers, metrics, f"{self._id}-{self._incarnation}")
         groups = self._groups
         self._configs.listen(groups.records_applied)
-        hang_ups = HangUpWatch(metrics)
+        hang_up_watch = HangUpWatch(metrics)
         coordinator = Coordinator(
             self._id, self._configs, self._members, self._links, groups, metrics
         )
@@ -162,16 +162,16 @@
             self._members,
             self._routes,
             coordinator,
-            hang_ups,
+            hang_up_watch,
             self._bookings,
-            self._greet,
+            self._exchange_hellos,
         )
         operator_context = OperatorContext(
             keys.operator, self._configs, self._members, planner, metrics, self.status
         )
         self._peers = PeerListener(
-            where.host,
-            where.peer_port,
+            listener_settings.host,
+            listener_settings.peer_port,
             keys.peer,
             self._hello,
             self._links.greeted,
@@ -179,9 +179,9 @@
             metrics,
         )
         self._callers = Listener(
-            where.host,
-            where.caller_port,
-            where.threads,
+            listener_settings.host,
+            listener_settings.caller_port,
+            listener_settings.threads,
             callers.ROUTES,
             caller_context,
             self._lifecycle,
@@ -189,8 +189,8 @@
             metrics,
         )
         self._operators = Listener(
-            where.host,
-            where.operator_port,
+            listener_settings.host,
+            listener_settings.operator_port,
             _OPERATOR_THREADS,
             operators.ROUTES,
             operator_context,
@@ -198,7 +198,7 @@
             timers,
             metrics,
         )
-        self._parts = (
+        self._components = (
             platform,
             timers,
             groups,
@@ -209,14 +209,14 @@
             self._configs,
             self._peers,
             self._operators,
-            hang_ups,
+            hang_up_watch,
             self._callers,
             sync,
         )
 
     def _hello(self) -> Hello:
         state = self._lifecycle.state
-        # Before a listener is started, its free port is not known yet.
+        # A port that the system assigns is known only once the listener is bound.
         addresses = {} if state is InstanceState.STARTING else self.addresses
         return Hello(
             self._id,
@@ -232,15 +232,17 @@
     def _refuse_tokens(self) -> None:
         self._bookings.leave()
 
-    def _tell_peer(self, peer_id: str) -> float:
+    def _notify_peer(self, peer_id: str) -> float:
         message = Leaving(self._id, self._incarnation)
-        reply = self._links.request(peer_id, "instance.leaving", message, RouteHeld, _PEER_TIMEOUT)
+        reply = self._links.request(
+            peer_id, "instance.leaving", message, RouteHeld, _PEER_TIMEOUT_SECONDS
+        )
         return reply.seconds
 
-    def _greet(self, peer_id: str) -> None:
-        """Exchange hellos with a peer, which opens the link where there is none."""
+    def _exchange_hellos(self, peer_id: str) -> None:
+        """Exchange hellos with a peer, opening a link if there is none."""
         self._links.request(
-            peer_id, "instance.hello", self._hello(), Acknowledgement, _PEER_TIMEOUT
+            peer_id, "instance.hello", self._hello(), Acknowledgement, _PEER_TIMEOUT_SECONDS
         )
 
     def _longest_ttl(self) -> float:
@@ -251,7 +253,7 @@
         requests = sum(listener.open_requests for listener in listeners)
         return OpenWork(requests, self._callers.last_arrival)
 
-    def _give_up(self) -> None:
+    def _abort_open_requests(self) -> None:
         self._groups.give_up()
         self._bookings.give_up()
         self._links.give_up()
--- a/packages/limpethollow-node/src/limpethollow_node/process/platforms.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/platforms.py
@@ -19,26 +19,26 @@
 
 T = TypeVar("T")
 
-_RETRY_AFTER = 1.0
-_RETRY_SHARE = 0.1
-_RETRY_LIMIT = 10.0
+_RETRY_AFTER_SECONDS = 1.0
+_RETRY_RATIO = 0.1
+_MAX_SAVED_RETRIES = 10.0
 _MAX_CONNECTIONS = 8
 _CHUNK_BYTES = 64 * 1024
-_MAX_ANSWER_BYTES = 256 * 1024 * 1024
+_MAX_RESPONSE_BYTES = 256 * 1024 * 1024
 
 
 class CallBudgetSpent(Unavailable):
-    """This instance's own budget of calls is spent; nothing was sent."""
+    """The call budget of this instance is exhausted; nothing was sent."""
 
 
 class PlatformObject(msgspec.Struct, frozen=True):
-    """One object with its version, which rises with every write.
+    """One stored object with its version, which increases with every write.
 
     Attributes:
-        kind: Its kind.
-        name: Its name.
-        version: Its version, which orders writes of all eras.
-        value: What it holds.
+        kind: Kind of the object.
+        name: Name of the object.
+        version: Version that orders the writes of all store eras.
+        value: Content of the object.
     """
 
     kind: str
@@ -48,14 +48,14 @@
 
 
 class ObjectList(msgspec.Struct, frozen=True):
-    """Objects and the platform's revision at which they were read, which orders as versions do."""
+    """Objects and the platform's revision at which they were read; it is ordered like versions."""
 
     revision: int
     objects: tuple[PlatformObject, ...]
 
 
-class _ObjectAnswer(msgspec.Struct, frozen=True):
-    """An object as the platform tells it; its version counts within the era of its write."""
+class _ObjectResponse(msgspec.Struct, frozen=True):
+    """An object as the platform sends it; the version counts within the era of its write."""
 
     kind: str
     name: str
@@ -63,40 +63,40 @@
     value: dict[str, Any]
     era: int = 0
 
-    def decoded(self) -> PlatformObject:
+    def to_result(self) -> PlatformObject:
         version = version_of(self.era, self.version)
         return PlatformObject(self.kind, self.name, version, self.value)
 
 
-class _ListAnswer(msgspec.Struct, frozen=True):
+class _ListResponse(msgspec.Struct, frozen=True):
     revision: int
-    objects: tuple[_ObjectAnswer, ...]
+    objects: tuple[_ObjectResponse, ...]
     era: int = 0
 
-    def decoded(self) -> ObjectList:
-        objects = tuple(stored.decoded() for stored in self.objects)
+    def to_result(self) -> ObjectList:
+        objects = tuple(stored.to_result() for stored in self.objects)
         return ObjectList(version_of(self.era, self.revision), objects)
 
 
-class _InstancesAnswer(msgspec.Struct, frozen=True):
+class _InstancesResponse(msgspec.Struct, frozen=True):
     revision: int
     instances: tuple[InstanceInfo, ...]
     searchers: tuple[SearcherListing, ...] = ()
     era: int = 0
 
-    def decoded(self) -> InstanceList:
+    def to_result(self) -> InstanceList:
         return InstanceList(version_of(self.era, self.revision), self.instances, self.searchers)
 
 
-L = TypeVar("L", _ListAnswer, _InstancesAnswer)
+L = TypeVar("L", _ListResponse, _InstancesResponse)
 
 
 class PlatformClient:
-    """Calls the object API within deadlines and a budget, each call counted by kind.
+    """Calls the object API with deadlines and a call budget, and counts the calls by kind.
 
     Args:
-        settings: Address and bounds.
-        metrics: Where calls are counted.
+        settings: Address and timeouts of the platform.
+        metrics: Counts the calls.
     """
 
     def __init__(self, settings: PlatformSettings, metrics: Metrics) -> None:
@@ -104,7 +104,7 @@
         self._metrics = metrics
         self._lock = threading.Lock()
         self._budget = CallBudget(DEFAULT_RATES)
-        self._retries = RetryBudget(_RETRY_SHARE, _RETRY_LIMIT)
+        self._retries = RetryBudget(_RETRY_RATIO, _MAX_SAVED_RETRIES)
         self._is_failing = False
         self._era = UNKNOWN_ERA
         self._pool = self._new_pool()
@@ -119,56 +119,58 @@
         """Read one object.
 
         Raises:
-            NotFound: There is none of this name.
-            Unavailable: The platform gave no usable answer.
+            NotFound: There is no object of this name.
+            Unavailable: The platform gave no usable response.
         """
         path = f"/objects/{kind}/{name}"
         try:
-            return self._call("read", "GET", path, _ObjectAnswer).decoded()
+            return self._call("read", "GET", path, _ObjectResponse).to_result()
         except CallBudgetSpent:
             raise
         except Unavailable:
             if not self.may_retry("read"):
                 raise
-            return self._call("read", "GET", path, _ObjectAnswer).decoded()
+            return self._call("read", "GET", path, _ObjectResponse).to_result()
 
     def write(
         self, kind: str, name: str, value: dict[str, Any], if_version: int | None = None
     ) -> PlatformObject:
-        """Write one object, only where its version is still the given one; 0 means none.
+        """Write one object; with `if_version`, only if that is still its version.
+
+        An `if_version` of 0 means that the object must not exist yet.
 
         Raises:
-            Conflict: The object has another version.
-            Unavailable: The platform gave no usable answer; the write may have taken effect.
+            Conflict: The object has a different version.
+            Unavailable: The platform gave no usable response; the write may have taken effect.
         """
-        body = to_json({"value": value, **_condition(if_version)})
+        body = to_json({"value": value, **_write_condition(if_version)})
         path = f"/objects/{kind}/{name}"
-        return self._call("write", "PUT", path, _ObjectAnswer, body).decoded()
+        return self._call("write", "PUT", path, _ObjectResponse, body).to_result()
 
     def list(self, kind: str) -> ObjectList:
         """Read all objects of a kind."""
-        return self._read_list("list", f"/objects/{kind}", _ListAnswer).decoded()
+        return self._read_list("list", f"/objects/{kind}", _ListResponse).to_result()
 
     def watch(self, kind: str, after: int, wait: float | None = None) -> ObjectList:
-        """Wait for objects newer than a revision; empty where none came in time.
+        """Wait for objects newer than a revision; the list is empty after a timeout.
 
         Args:
             kind: Kind of the objects.
             after: The revision.
-            wait: Seconds to wait; as the settings say where left out.
+            wait: Seconds to wait; `watch_timeout` of the settings by default.
         """
         wait = self._settings.watch_timeout if wait is None else wait
-        path = f"/watch/{kind}?{_position(after)}&timeout={wait}"
-        return self._read_list("watch", path, _ListAnswer, wait).decoded()
+        path = f"/watch/{kind}?{_query_after(after)}&timeout={wait}"
+        return self._read_list("watch", path, _ListResponse, wait).to_result()
 
     def instances(self, after: int) -> InstanceList:
-        """Wait for the list of instances to be newer than a revision; -1 answers at once."""
+        """Wait for a list of instances newer than a revision; -1 returns the list at once."""
         wait = self._settings.watch_timeout
-        path = f"/instances?{_position(after)}&timeout={wait}"
-        return self._read_list("instances", path, _InstancesAnswer, wait).decoded()
+        path = f"/instances?{_query_after(after)}&timeout={wait}"
+        return self._read_list("instances", path, _InstancesResponse, wait).to_result()
 
     def may_retry(self, call: str) -> bool:
-        """Take one retry from the budget; false where none is left."""
+        """Take one retry from the retry budget; return false if it is exhausted."""
         with self._lock:
             allowed = self._retries.take()
         if allowed:
@@ -177,11 +179,11 @@
             self._metrics.count("platform_retries_refused", call)
         return allowed
 
-    def _read_list(self, call: str, path: str, kind: type[L], patience: float = 0.0) -> L:
-        """Return an answer that tells the platform's own era, and note that."""
-        answer = self._call(call, "GET", path, kind, patience=patience)
-        self._note_era(answer.era)
-        return answer
+    def _read_list(self, call: str, path: str, kind: type[L], extra_wait: float = 0.0) -> L:
+        """Read a list; the response carries the platform's current era, which is recorded."""
+        result = self._call(call, "GET", path, kind, extra_wait=extra_wait)
+        self._record_era(result.era)
+        return result
 
     def _call(
         self,
@@ -190,26 +192,26 @@
         path: str,
         kind: type[T],
         body: bytes | None = None,
-        patience: float = 0.0,
+        extra_wait: float = 0.0,
     ) -> T:
-        self._take_budget(call)
+        self._charge_call_budget(call)
         self._metrics.count("platform_calls", call)
-        deadline = time.monotonic() + self._settings.timeout + patience
+        deadline = time.monotonic() + self._settings.timeout + extra_wait
         pool = self._pool
         try:
-            status, data = self._exchange(pool, method, path, body, deadline)
-            answer = _read_reply(status, data, kind)
+            status, data = self._send_request(pool, method, path, body, deadline)
+            result = _decode_response(status, data, kind)
         except (urllib3.exceptions.HTTPError, Unavailable) as error:
-            self._failed(call, error)
-            self._condemn(pool)
+            self._record_failure(call, error)
+            self._replace_pool(pool)
             raise Unavailable(
-                f"The platform gave no usable answer ({type(error).__name__}).",
-                retry_after=_RETRY_AFTER,
+                f"The platform gave no usable response ({type(error).__name__}).",
+                retry_after=_RETRY_AFTER_SECONDS,
             ) from None
-        self._succeeded()
-        return answer
+        self._record_success()
+        return result
 
-    def _exchange(
+    def _send_request(
         self,
         pool: urllib3.HTTPConnectionPool,
         method: str,
@@ -217,38 +219,39 @@
         body: bytes | None,
         deadline: float,
     ) -> tuple[int, bytes]:
-        """Send a request and read the whole reply by the deadline.
+        """Send a request and read the whole response by the deadline.
 
-        A timeout of the socket alone starts anew with every byte: a platform that sends a reply
-        drop by drop would hold the caller for ever.
+        The socket timeout alone restarts with every byte received, so a platform that sends its
+        response a few bytes at a time could block the caller indefinitely.
         """
-        left = deadline - time.monotonic()
-        timeout = urllib3.Timeout(connect=self._settings.timeout, read=left)
-        reply = pool.urlopen(
+        remaining = deadline - time.monotonic()
+        timeout = urllib3.Timeout(connect=self._settings.timeout, read=remaining)
+        response = pool.urlopen(
             method, path, body=body, timeout=timeout, retries=False, preload_content=False
         )
         try:
             data = bytearray()
-            while chunk := reply.read1(_CHUNK_BYTES):
+            while chunk := response.read1(_CHUNK_BYTES):
                 data += chunk
-                if time.monotonic() > deadline or len(data) > _MAX_ANSWER_BYTES:
-                    raise Unavailable("The answer is too slow or too large.")
+                if time.monotonic() > deadline or len(data) > _MAX_RESPONSE_BYTES:
+                    raise Unavailable("The response took too long or is too large.")
         except BaseException:
-            # The rest of the reply is still to come, so nobody may use this connection again.
-            reply.close()
+            # Unread bytes of the response may still arrive, so the connection can't be reused.
+            response.close()
             raise
-        reply.release_conn()
-        return reply.status, bytes(data)
+        response.release_conn()
+        return response.status, bytes(data)
 
     def _new_pool(self) -> urllib3.HTTPConnectionPool:
         host, _, port = self._settings.address.rpartition(":")
         return urllib3.HTTPConnectionPool(host, int(port), maxsize=_MAX_CONNECTIONS, retries=False)
 
-    def _condemn(self, pool: urllib3.HTTPConnectionPool) -> None:
-        """Give up all idle connections after a failure.
+    def _replace_pool(self, pool: urllib3.HTTPConnectionPool) -> None:
+        """Replace the connection pool after a failure.
 
-        Where something in between lost track of one, it lost track of the others too. Calls would
-        time out one after another, once for each connection in the pool, though a new one works.
+        An intermediary on the path that lost the state of one connection has lost that of the
+        other idle ones too. Calls would time out one after another, once for each connection in
+        the pool, although a new connection would work.
         """
         with self._lock:
             if self._pool is not pool:
@@ -256,28 +259,30 @@
             self._pool = self._new_pool()
         pool.close()
 
-    def _note_era(self, era: int) -> None:
+    def _record_era(self, era: int) -> None:
         with self._lock:
-            was, self._era = self._era, max(self._era, era)
-        if era > was > UNKNOWN_ERA:
-            events.STORE_RESTORED.log(era=era, was=was)
+            previous_era, self._era = self._era, max(self._era, era)
+        if era > previous_era > UNKNOWN_ERA:
+            events.STORE_RESTORED.log(era=era, was=previous_era)
 
-    def _take_budget(self, call: str) -> None:
+    def _charge_call_budget(self, call: str) -> None:
         with self._lock:
             wait = self._budget.take(call, time.monotonic())
         if wait:
             self._metrics.count("platform_calls_refused", call)
             events.PLATFORM_CALL_REFUSED.log(call=call)
-            raise CallBudgetSpent("The budget of calls to the platform is spent.", retry_after=wait)
+            raise CallBudgetSpent(
+                "The call budget for the platform is exhausted.", retry_after=wait
+            )
 
-    def _failed(self, call: str, error: Exception) -> None:
+    def _record_failure(self, call: str, error: Exception) -> None:
         self._metrics.count("platform_failures", call)
         with self._lock:
             was_failing, self._is_failing = self._is_failing, True
         if not was_failing:
             events.PLATFORM_FAILED.log(call=call, error=repr(error))
 
-    def _succeeded(self) -> None:
+    def _record_success(self) -> None:
         with self._lock:
             self._retries.succeeded()
             was_failing, self._is_failing = self._is_failing, False
@@ -285,27 +290,27 @@
             events.PLATFORM_BACK.log()
 
 
-def _position(after: int) -> str:
-    """Return the parameters that ask for what is newer than a version."""
+def _query_after(after: int) -> str:
+    """Return the query parameters that select what is newer than a revision."""
     return f"after={number_of(after)}&era={era_of(after)}"
 
 
-def _condition(version: int | None) -> dict[str, int | None]:
-    """Return the fields that make a write depend on an object's version."""
+def _write_condition(version: int | None) -> dict[str, int | None]:
+    """Return the body fields that make a write conditional on the object's version."""
     if version is None:
         return {"if_version": None}
     return {"if_version": number_of(version), "if_era": era_of(version)}
 
 
-def _read_reply(status: int, data: bytes, kind: type[T]) -> T:
+def _decode_response(status: int, data: bytes, kind: type[T]) -> T:
     if status == 404:
-        raise NotFound("The platform has no such object.")
+        raise NotFound("The object does not exist on the platform.")
     if status == 409:
-        raise Conflict("The object was changed by somebody else.")
+        raise Conflict("The object was changed by another writer.")
     if status != 200:
-        raise Unavailable(f"The platform answered with status {status}.")
+        raise Unavailable(f"The platform responded with status {status}.")
     try:
         return msgspec.json.decode(data, type=kind)
     except msgspec.MsgspecError as error:
-        # No answer rather than a wrong request: the write that it answers may have taken effect.
-        raise Unavailable(f"The platform's answer can't be read: {error}.") from None
+        # Reported as unavailable, not as a bad request: the write may have taken effect.
+        raise Unavailable(f"The platform's response could not be decoded: {error}.") from None
--- a/packages/limpethollow-node/src/limpethollow_node/process/stdoutlogs.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/stdoutlogs.py
@@ -1,4 +1,4 @@
-"""JSON logs on standard output that never hold the process up."""
+"""JSON logging to standard output that never blocks the process."""
 
 import logging
 import os
@@ -10,68 +10,68 @@
 from limpethollow_node.process import events
 from limpethollow_policy.process.logbudgets import LogBudget
 
-# Bytes that wait for a reader of standard output that is slow or has stopped; older lines are kept
-# and newer ones dropped, since the first ones tell how a trouble began.
+# Limit of the buffer for a slow or stopped reader of standard output. When it is full, new lines
+# are dropped and old ones kept, since the first lines show how a problem started.
 MAX_WAITING_BYTES = 1024 * 1024
-_FIELDS = "%(asctime)s %(levelname)s %(message)s"
-_STDOUT = 1
+_LINE_FORMAT = "%(asctime)s %(levelname)s %(message)s"
+_STDOUT_DESCRIPTOR = 1
 
 
 class StdoutHandler(logging.Handler):
-    """Writes lines to a descriptor that doesn't block, and counts what it had to drop.
+    """Writes lines to a non-blocking descriptor and counts the lines it has to drop.
 
-    A pipe whose reader has stopped blocks its writer once it is full; all requests would stand
-    still for want of a log line.
+    A full pipe whose reader has stopped blocks the writer, so one log line could block all
+    requests.
 
     Args:
-        budget: How many lines of each event may be written.
-        descriptor: Where to write.
+        budget: Limits the lines written for each event.
+        descriptor: File descriptor to write to; it is set to non-blocking mode.
     """
 
-    def __init__(self, budget: LogBudget, descriptor: int = _STDOUT) -> None:
+    def __init__(self, budget: LogBudget, descriptor: int = _STDOUT_DESCRIPTOR) -> None:
         super().__init__()
         self._budget = budget
         self._descriptor = descriptor
-        self._waiting: deque[bytes] = deque()
-        self._waiting_bytes = 0
+        self._buffer: deque[bytes] = deque()
+        self._buffered_bytes = 0
         self._dropped = 0
         os.set_blocking(descriptor, False)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write a line, or keep it until there is room."""
+        """Write a line, or buffer it until the descriptor accepts more."""
         event = getattr(record, "event", 0)
-        urgent = record.levelno >= logging.ERROR
-        if not urgent and not self._budget.allow(event, time.monotonic()):
+        is_error = record.levelno >= logging.ERROR
+        if not is_error and not self._budget.allow(event, time.monotonic()):
             return
         line = self.format(record).encode() + b"\n"
-        if self._waiting_bytes + len(line) > MAX_WAITING_BYTES:
+        if self._buffered_bytes + len(line) > MAX_WAITING_BYTES:
             self._dropped += 1
             return
-        self._waiting.append(line)
-        self._waiting_bytes += len(line)
+        self._buffer.append(line)
+        self._buffered_bytes += len(line)
         self.flush()
 
     def flush(self) -> None:
-        """Write what waits, as far as there is room."""
-        while self._waiting:
-            line = self._waiting[0]
+        """Write as much of the buffer as the descriptor accepts."""
+        while self._buffer:
+            line = self._buffer[0]
             try:
                 written = os.write(self._descriptor, line)
             except BlockingIOError:
                 return
             except OSError:
-                # Nobody reads any more. There is no other place to say so.
-                self._waiting.clear()
-                self._waiting_bytes = 0
+                # The reader is gone, and there is no other place to log that.
+                self._buffer.clear()
+                self._buffered_bytes = 0
                 return
-            self._waiting_bytes -= written
+            self._buffered_bytes -= written
             if written < len(line):
-                self._waiting[0] = line[written:]
+                self._buffer[0] = line[written:]
                 return
-            self._waiting.popleft()
+            self._buffer.popleft()
 
     def report(self) -> None:
-        """Write what waits, and say what was not written; called about once a second."""
+        """Flush the buffer and log how many lines were suppressed; called about once a second."""
         self.flush()
         suppressed = self._budget.take_suppressed()
         dropped, self._dropped = self._dropped, 0
@@ -81,13 +81,13 @@
 
 
 def start_stdout_logs(instance: str) -> StdoutHandler:
-    """Send all log lines to standard output as JSON.
+    """Write log records to standard output as JSON lines.
 
     Args:
-        instance: Name written into every line.
+        instance: Name of this instance, added to every line.
     """
     handler = StdoutHandler(LogBudget())
-    handler.setFormatter(JsonFormatter(_FIELDS, static_fields={"instance": instance}))
+    handler.setFormatter(JsonFormatter(_LINE_FORMAT, static_fields={"instance": instance}))
     root = logging.getLogger()
     root.handlers[:] = [handler]
     root.setLevel(logging.WARNING)
--- a/packages/limpethollow-node/src/limpethollow_node/process/timers.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/timers.py
@@ -1,4 +1,4 @@
-"""One thread that runs short callbacks at given times, and sleeps when there are none."""
+"""A thread that runs short callbacks at scheduled times."""
 
 import heapq
 import itertools
@@ -10,7 +10,9 @@
 
 
 class Timers:
-    """Runs callbacks later; they must not block.
+    """Runs callbacks at scheduled times on one thread; callbacks must not block.
+
+    The thread sleeps while no callback is due.
 
     Usage:
         with Timers() as timers:
@@ -20,7 +22,7 @@
     def __init__(self) -> None:
         self._condition = threading.Condition()
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
-        self._order = itertools.count()
+        self._sequence_numbers = itertools.count()
         self._closed = False
         self._thread = threading.Thread(target=self._run, name="timers", daemon=True)
 
@@ -34,14 +36,19 @@
             self._condition.notify()
 
     def call_at(self, when: float, callback: Callable[[], None]) -> None:
-        """Run a callback at a monotonic second."""
+        """Schedule a callback.
+
+        Args:
+            when: Time of `time.monotonic` at which to run it.
+            callback: The function to call.
+        """
         with self._condition:
-            heapq.heappush(self._heap, (when, next(self._order), callback))
+            heapq.heappush(self._heap, (when, next(self._sequence_numbers), callback))
             self._condition.notify()
 
     def _run(self) -> None:
         while True:
-            callback = self._next()
+            callback = self._wait_for_callback()
             if callback is None:
                 return
             try:
@@ -49,7 +56,7 @@
             except Exception as error:
                 events.DEFECT.log(where="timer", error=repr(error), exc_info=True)
 
-    def _next(self) -> Callable[[], None] | None:
+    def _wait_for_callback(self) -> Callable[[], None] | None:
         with self._condition:
             while not self._closed:
                 now = time.monotonic()
--- a/tests/unit/engine/test_logs.py
+++ b/tests/unit/engine/test_logs.py
@@ -31,7 +31,7 @@
         handler = StdoutHandler(LogBudget(1e9, 1e9), writing)
         for _ in range(4000):
             handler.emit(self.record("x" * 1000))
-        assert handler._waiting_bytes <= MAX_WAITING_BYTES
+        assert handler._buffered_bytes <= MAX_WAITING_BYTES
         assert handler._dropped > 0
         os.set_blocking(reading, False)
         read = b""
@@ -48,7 +48,7 @@
         os.close(reading)
         handler = StdoutHandler(LogBudget(), writing)
         handler.emit(self.record("gone"))
-        assert handler._waiting_bytes == 0
+        assert handler._buffered_bytes == 0
         os.close(writing)
 
 
