--- a/packages/limpethollow-node/src/limpethollow_node/platform/__init__.py
+++ b/packages/limpethollow-node/src/limpethollow_node/platform/__init__.py
@@ -1,5 +1,5 @@
-"""The adapter to the users' platform: the only place that knows the platform's names.
+"""Adapter to the users' platform; no other package uses the platform's names.
 
-It decodes the platform's settings, headers and objects into the product's types, and does not
-decide anything itself.
+It decodes the platform's settings, headers and stored objects into the product's types and contains
+no decision logic.
 """
--- a/packages/limpethollow-node/src/limpethollow_node/platform/checks.py
+++ b/packages/limpethollow-node/src/limpethollow_node/platform/checks.py
@@ -1,4 +1,4 @@
-"""Finds out within about a second that the store is away, and when it is back."""
+"""Detects within about a second that the store is unavailable, and when it answers again."""
 
 import asyncio
 from collections.abc import Callable
@@ -7,45 +7,46 @@
 from limpethollow_node.process import events
 from limpethollow_wire.exceptions import Unavailable
 
-# A configuration must be in force everywhere 3 s after the store has it. An outage is found after
-# at most the two together, and what is left is for others to begin to watch.
+# A configuration must be in force on every instance within 3 s of its write to the store. An outage
+# is detected after at most the interval plus the timeout below; the remaining time is needed for
+# other instances to start watching.
 CHECK_SECONDS = 0.7
-# A healthy store answers in 4 ms and a slow one 60 times later.
+# A healthy store answers in 4 ms; a slow one takes 60 times as long.
 PATIENCE_SECONDS = 0.5
-# The same for an instance that knows nothing yet and refuses every caller until the store is back:
-# the return is noticed within 0.25 s at 0.4 of the price of a call a second. A store that is merely
-# slow still answers the lists themselves.
+# Interval and timeout for an instance that has no state yet and refuses every caller until the
+# store is back: the recovery is detected within 0.25 s, at 0.4 of the cost of one call per second.
+# The timeout may be short because a store that is merely slow still answers the list calls.
 URGENT_CHECK_SECONDS = 0.1
 URGENT_PATIENCE_SECONDS = 0.15
 
 
 class StoreCheck:
-    """Asks the store for a small object again and again, and tells when it is back.
+    """Polls the store with a cheap read and reports when it stops answering and when it recovers.
 
-    A store that goes silent takes calls and never answers them, also those that wait for changes,
-    while their connections stay open. A watch that was asked for in that time shows nothing until
-    its own time is over, ten seconds later, and the changes since are missing here all that time.
-    Checks fail during the outage, so the first one that succeeds shows that watches are doubtful.
+    A store that stops responding accepts calls, including watches, and never answers them, while
+    their connections stay open. A watch that is sent during the outage returns nothing until it
+    times out ten seconds later, and this instance misses all changes until then. Checks fail
+    during the outage, so the first one that succeeds shows that pending watches may be dead.
 
     Attributes:
         away: Whether the last check failed.
-        answers: Whether the last check succeeded, of those made since checks began.
-        urgent: Whether callers are refused until the store is back.
+        answers: Whether the last check since checks were activated succeeded.
+        urgent: Whether this instance refuses callers until the store is back.
 
     Args:
         store: The store.
-        kind: Kind of the object asked for.
-        name: Name of the object asked for.
-        on_away: Called when the store doesn't answer any more.
-        on_back: Called when it answers again.
+        kind: Kind of the object to read.
+        name: Name of the object to read.
+        on_unavailable: Called when the store stops answering.
+        on_available: Called when it answers again.
     """
 
     __slots__ = (
         "_active",
         "_kind",
         "_name",
-        "_on_away",
-        "_on_back",
+        "_on_unavailable",
+        "_on_available",
         "_store",
         "answers",
         "away",
@@ -57,21 +58,21 @@
         store: Store,
         kind: str,
         name: str,
-        on_away: Callable[[], None],
-        on_back: Callable[[], None],
+        on_unavailable: Callable[[], None],
+        on_available: Callable[[], None],
     ) -> None:
-        self._on_away = on_away
+        self._on_unavailable = on_unavailable
         self._store = store
         self._kind = kind
         self._name = name
-        self._on_back = on_back
+        self._on_available = on_available
         self._active = asyncio.Event()
         self.answers = False
         self.away = False
         self.urgent = False
 
     def set_active(self, active: bool) -> None:
-        """Check from now on, at once for the first time, or leave that to others."""
+        """Start checking, with the first check at once, or stop."""
         if active:
             self._active.set()
         else:
@@ -86,18 +87,18 @@
             await asyncio.sleep(URGENT_CHECK_SECONDS if self.urgent else CHECK_SECONDS)
 
     async def _check(self) -> None:
-        patience = URGENT_PATIENCE_SECONDS if self.urgent else PATIENCE_SECONDS
+        timeout = URGENT_PATIENCE_SECONDS if self.urgent else PATIENCE_SECONDS
         try:
-            await self._store.check(self._kind, self._name, patience)
+            await self._store.check(self._kind, self._name, timeout)
         except Unavailable as error:
             self.answers = False
             if not self.away:
                 self.away = True
                 events.PLATFORM_FAILED.log(call="check", error=str(error))
-                self._on_away()
+                self._on_unavailable()
             return
         self.answers = self._active.is_set()
         if self.away:
             self.away = False
             events.PLATFORM_BACK.log()
-            self._on_back()
+            self._on_available()
--- a/packages/limpethollow-node/src/limpethollow_node/platform/codec.py
+++ b/packages/limpethollow-node/src/limpethollow_node/platform/codec.py
@@ -1,4 +1,4 @@
-"""Objects of the platform's store, decoded into the product's types."""
+"""Decodes objects of the platform's store into the product's types."""
 
 from typing import Any, TypeVar
 
@@ -26,11 +26,11 @@
 
 
 class StoredQuarantine(msgspec.Struct, frozen=True):
-    """A quarantined request as the store has it.
+    """A quarantined request as stored.
 
     Attributes:
-        report: The evidence on it.
-        released: Whether an operator wants it to run again.
+        report: The crash evidence against the request.
+        released: Whether an operator has allowed it to run again.
     """
 
     report: CrashReport
@@ -59,24 +59,24 @@
         return self.meta.revision
 
 
-class _Entry(msgspec.Struct, frozen=True, rename="camel"):
+class _SearcherSpec(msgspec.Struct, frozen=True, rename="camel"):
     service: str
     addr: str
     zone: str
     state: str
     slots: int = 1
-    # How much longer the searcher is cold after its start.
+    # Remaining time in which the searcher is cold after its start.
     cold_left_ms: float = 0
-    # Millisecond of the process's start: a new one under the old id is another process.
+    # Start time of the process in milliseconds; distinguishes processes that reuse an id.
     born: int = 0
 
 
-class _Split(msgspec.Struct, frozen=True):
+class _SplitTarget(msgspec.Struct, frozen=True):
     service: str
     weight: float
 
 
-class _Route(msgspec.Struct, frozen=True, rename="camel"):
+class _RouteSpec(msgspec.Struct, frozen=True, rename="camel"):
     name: str
     host: str
     path_prefix: str
@@ -85,36 +85,36 @@
     slo_ms: float
     attempts: int = 1
     service: str | None = None
-    traffic_split: list[_Split] | None = None
+    traffic_split: list[_SplitTarget] | None = None
     gather: list[str] | None = None
     top_k: int = 0
-    # The least share of the shards that an answer must cover; it says nothing about versions.
+    # Minimum share of the shards that an answer must cover; despite its name, not a version.
     min_version: float = 0.0
 
 
-class _Service(msgspec.Struct, frozen=True, rename="camel"):
+class _ServiceSpec(msgspec.Struct, frozen=True, rename="camel"):
     name: str
     max_conns: int = 16
     cold_start_s: float = 0.0
-    # Requests a second that a cold searcher stands; 0 where it stands any number.
+    # Requests per second that a cold searcher can handle; 0 means no limit.
     cold_per_s: float = 0.0
 
 
-class _Limits(msgspec.Struct, frozen=True, rename="camel"):
+class _LimitsSpec(msgspec.Struct, frozen=True, rename="camel"):
     max_header_bytes: int = 16 * 1024
     max_body_bytes: int = 1024 * 1024
     header_timeout_ms: float = 10_000
     idle_timeout_ms: float = 60_000
 
 
-class _Configuration(msgspec.Struct, frozen=True):
+class _ConfigurationSpec(msgspec.Struct, frozen=True):
     version: int
-    routes: list[_Route]
-    services: list[_Service]
-    limits: _Limits = _Limits()
+    routes: list[_RouteSpec]
+    services: list[_ServiceSpec]
+    limits: _LimitsSpec = _LimitsSpec()
 
 
-class _Quarantine(msgspec.Struct, frozen=True, rename="camel"):
+class _QuarantineSpec(msgspec.Struct, frozen=True, rename="camel"):
     searchers: list[str]
     on_trial: list[str]
     epoch: int = 0
@@ -125,14 +125,18 @@
     """Decode a searcher's entry.
 
     Raises:
-        BadRequest: Another writer left something that names no searcher to use.
+        BadRequest: The entry has a missing or invalid field.
     """
-    entry = _convert(stored, _Entry, f"The searcher's entry {stored.name!r} can't be used")
+    entry = _convert(stored, _SearcherSpec, f"Invalid searcher entry {stored.name!r}")
     if entry.state not in (_READY, _DRAINING):
-        raise BadRequest(f"The searcher's entry {stored.name!r} has state {entry.state!r}.")
+        raise BadRequest(
+            f"The searcher entry {stored.name!r} has the unknown state {entry.state!r}."
+        )
     host, _, port = entry.addr.rpartition(":")
     if not host or not port.isdecimal() or not 0 < int(port) < 65536 or entry.slots < 1:
-        raise BadRequest(f"The searcher's entry {stored.name!r} has no usable address or slots.")
+        raise BadRequest(
+            f"The searcher entry {stored.name!r} has an invalid address or slot count."
+        )
     return Searcher(
         id=stored.name,
         service=entry.service,
@@ -149,51 +153,53 @@
     """Decode the operator's configuration.
 
     Raises:
-        BadRequest: It can't be read.
+        BadRequest: A field is missing or invalid.
     """
-    found = _convert(stored, _Configuration, "The configuration can't be read")
+    decoded = _convert(stored, _ConfigurationSpec, "Invalid configuration")
     return RoutingVersion(
-        number=found.version,
-        routes=tuple(_decode_route(route) for route in found.routes),
-        services={service.name: _decode_limits(service) for service in found.services},
+        number=decoded.version,
+        routes=tuple(_decode_route(route) for route in decoded.routes),
+        services={service.name: _decode_service_limits(service) for service in decoded.services},
         limits=CallerLimits(
-            header_bytes=found.limits.max_header_bytes,
-            body_bytes=found.limits.max_body_bytes,
-            header_timeout=found.limits.header_timeout_ms / 1000,
-            idle_timeout=found.limits.idle_timeout_ms / 1000,
+            header_bytes=decoded.limits.max_header_bytes,
+            body_bytes=decoded.limits.max_body_bytes,
+            header_timeout=decoded.limits.header_timeout_ms / 1000,
+            idle_timeout=decoded.limits.idle_timeout_ms / 1000,
         ),
     )
 
 
 def decode_load(value: bytes) -> LoadReport:
-    """Decode a searcher's word on its load: running, waiting, slots and, at most, the slowdown.
+    """Decode a searcher's load report: running, waiting, slots and, optionally, the slowdown.
 
     Raises:
-        BadRequest: It isn't three or four whole numbers, or there are no slots.
+        BadRequest: The value isn't three or four whole numbers, or the slot count is 0.
     """
     fields = [field.strip() for field in value.split(b",")]
     if len(fields) not in (3, 4) or not all(field.isdigit() for field in fields):
-        raise BadRequest(f"The load {value!r} is no list of three or four numbers.")
+        raise BadRequest(f"The load report {value!r} is not a list of three or four whole numbers.")
     load = LoadReport(*map(int, fields))
     if load.slots < 1:
-        raise BadRequest(f"The load {value!r} has no slots.")
+        raise BadRequest(f"The load report {value!r} has a slot count of 0.")
     return load
 
 
 def decode_instance(stored: StoredObject) -> Instance:
-    """Decode an instance's own object.
+    """Decode an instance's object.
 
     Raises:
-        BadRequest: It can't be read.
+        BadRequest: A field is missing or invalid.
     """
-    instance = _convert(stored, Instance, f"The instance {stored.name!r} can't be read")
+    instance = _convert(stored, Instance, f"Invalid instance {stored.name!r}")
     if instance.name != stored.name:
-        raise BadRequest(f"The instance {stored.name!r} calls itself {instance.name!r}.")
+        raise BadRequest(
+            f"The object of instance {stored.name!r} has the name {instance.name!r} in its spec."
+        )
     return instance
 
 
 def decode_evacuation(stored: StoredObject) -> Evacuation:
-    """Decode the operator's order to evacuate a failure domain: its name says which."""
+    """Decode an operator's evacuation; the object's name is that of the failure domain."""
     return Evacuation(stored.name)
 
 
@@ -201,28 +207,30 @@
     """Decode a quarantined request.
 
     Raises:
-        BadRequest: It can't be read.
+        BadRequest: A field is missing or invalid.
     """
-    found = _convert(stored, _Quarantine, f"The request {stored.name!r} can't be read")
-    evidence = CrashEvidence(frozenset(found.searchers), frozenset(found.on_trial), found.epoch)
-    return StoredQuarantine(CrashReport(stored.name, evidence), found.released)
+    decoded = _convert(stored, _QuarantineSpec, f"Invalid quarantined request {stored.name!r}")
+    evidence = CrashEvidence(
+        frozenset(decoded.searchers), frozenset(decoded.on_trial), decoded.epoch
+    )
+    return StoredQuarantine(CrashReport(stored.name, evidence), decoded.released)
 
 
 def encode_quarantine(report: CrashReport) -> Any:
-    """Return what the object of a quarantined request holds."""
+    """Return the `spec` of a quarantined request's object."""
     evidence = report.evidence
     searchers, on_trial = sorted(evidence.searchers), sorted(evidence.on_trial)
-    return msgspec.to_builtins(_Quarantine(searchers, on_trial, evidence.epoch))
+    return msgspec.to_builtins(_QuarantineSpec(searchers, on_trial, evidence.epoch))
 
 
-def _convert(stored: StoredObject, kind: type[T], mistake: str) -> T:
+def _convert(stored: StoredObject, kind: type[T], message: str) -> T:
     try:
         return msgspec.convert(stored.spec, kind)
     except msgspec.MsgspecError as error:
-        raise BadRequest(f"{mistake}: {error}.") from None
+        raise BadRequest(f"{message}: {error}.") from None
 
 
-def _decode_limits(service: _Service) -> ServiceLimits:
+def _decode_service_limits(service: _ServiceSpec) -> ServiceLimits:
     return ServiceLimits(
         connections=service.max_conns,
         cold_seconds=service.cold_start_s,
@@ -230,7 +238,7 @@
     )
 
 
-def _decode_route(route: _Route) -> Route:
+def _decode_route(route: _RouteSpec) -> Route:
     targets: tuple[WeightedService, ...] = ()
     if route.traffic_split:
         targets = tuple(WeightedService(part.service, part.weight) for part in route.traffic_split)
--- a/packages/limpethollow-node/src/limpethollow_node/platform/directory.py
+++ b/packages/limpethollow-node/src/limpethollow_node/platform/directory.py
@@ -1,4 +1,4 @@
-"""Answers callers that ask where to connect, and the platform's readiness checks."""
+"""HTTP handlers for the directory address and for the platform's readiness checks."""
 
 from collections.abc import Callable
 from urllib.parse import parse_qs
@@ -13,18 +13,20 @@
 
 
 class DirectoryAnswers:
-    """Handles requests on the directory address.
+    """Answers callers that ask which addresses to connect to.
 
     Args:
-        choose: Returns the addresses for a caller in a failure domain.
-        lifetime: Returns for how many seconds callers may keep them.
+        choose_addresses: Returns the addresses for a caller in a failure domain.
+        ttl: Returns for how many seconds callers may cache the addresses.
     """
 
-    __slots__ = ("_choose", "_lifetime")
+    __slots__ = ("_choose_addresses", "_ttl")
 
-    def __init__(self, choose: Callable[[str], list[str]], lifetime: Callable[[], float]) -> None:
-        self._choose = choose
-        self._lifetime = lifetime
+    def __init__(
+        self, choose_addresses: Callable[[str], list[str]], ttl: Callable[[], float]
+    ) -> None:
+        self._choose_addresses = choose_addresses
+        self._ttl = ttl
 
     def handle(self, exchange: Exchange) -> None:
         """Answer one request."""
@@ -33,15 +35,15 @@
             exchange.respond(error_reply(NotFound("Only /resolve is served here.")))
             return
         zone = parse_qs(query.decode("latin-1")).get("zone", [""])[0]
-        body = {"addrs": self._choose(zone), "ttl_s": self._lifetime()}
+        body = {"addrs": self._choose_addresses(zone), "ttl_s": self._ttl()}
         exchange.respond(Reply(200, [_JSON], msgspec.json.encode(body)))
 
 
 class ReadyAnswers:
-    """Handles readiness checks.
+    """Answers readiness checks.
 
     Args:
-        is_ready: Returns whether this instance takes callers' requests.
+        is_ready: Returns whether this instance accepts callers' requests.
     """
 
     __slots__ = ("_is_ready",)
--- a/packages/limpethollow-node/src/limpethollow_node/platform/doors.py
+++ b/packages/limpethollow-node/src/limpethollow_node/platform/doors.py
@@ -1,4 +1,4 @@
-"""The listeners on which callers connect."""
+"""Listening sockets for callers' connections."""
 
 import socket
 from dataclasses import dataclass
@@ -9,11 +9,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Doors:
-    """Bound listeners whose callers wait until the process takes them.
+    """Bound listeners; connections wait in the accept queue until the process serves them.
 
     Attributes:
-        front: Takes callers' requests.
-        directory: Takes the question where to connect.
+        front: Listener for callers' requests.
+        directory: Listener for requests to `/resolve`.
     """
 
     front: socket.socket
@@ -21,10 +21,10 @@
 
     @classmethod
     def open(cls, listen: Listen) -> "Doors":
-        """Bind both.
+        """Bind both listeners.
 
         Raises:
-            OSError: One can't be bound.
+            OSError: A listener can't be bound.
         """
         front = open_listener(*split_address(listen.front))
         try:
--- a/packages/limpethollow-node/src/limpethollow_node/platform/filechecks.py
+++ b/packages/limpethollow-node/src/limpethollow_node/platform/filechecks.py
@@ -1,4 +1,4 @@
-"""Checks the files that the platform reads or writes, before a process meets them."""
+"""Validates settings files and deploy files without starting a process."""
 
 import re
 import tomllib
@@ -11,22 +11,22 @@
 from limpethollow_wire.exceptions import SettingsError
 
 _METRICS = re.compile(r"\d{1,5}/\S+")
-_SERVED = ("front", "control", "directory")
+_SERVED_KINDS = ("front", "control", "directory")
 
 
 class Role(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A program and where it runs.
+    """A program and the machines on which it runs.
 
     Attributes:
         run: The program and its arguments.
-        on: Class of machines.
-        share: Share of these machines; one of share and count is given.
-        count: Machines in each failure domain.
-        apart: Whether the last machines are taken instead of the first.
-        serves: Whom it serves from outside.
-        metrics: Port and path of its metrics.
-        template: Template of its settings.
-        env: Its environment.
+        on: Class of machines on which it runs.
+        share: Share of these machines; exactly one of share and count must be given.
+        count: Number of machines in each failure domain.
+        apart: Whether to use the last machines of the class instead of the first.
+        serves: Kinds of external traffic that it serves.
+        metrics: Port and path of its metrics endpoint.
+        template: Path of its settings template.
+        env: Its environment variables.
     """
 
     run: str
@@ -41,7 +41,7 @@
 
 
 class DeployFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How the platform builds the system and where it runs it."""
+    """How the platform builds and deploys the system."""
 
     build: str
     roles: dict[str, Role]
@@ -49,16 +49,18 @@
 
 
 def check_file(path: Path) -> str:
-    """Check a settings file (JSON) or a deploy file (TOML); return what it is for.
+    """Check a settings file (JSON) or a deploy file (TOML); return a short description of it.
 
     Raises:
-        SettingsError: The file has a mistake; the message names file, key and remedy.
+        SettingsError: The file is invalid; the message names the file, the key and the remedy.
     """
     if path.suffix == ".json":
         return f"instance {load_settings(path).node_name}"
     deploy = _load_deploy(path)
-    problems = [line for name, role in deploy.roles.items() for line in _role(name, role, path)]
-    problems += _together(deploy)
+    problems = [
+        line for name, role in deploy.roles.items() for line in _role_problems(name, role, path)
+    ]
+    problems += _cross_role_problems(deploy)
     if problems:
         raise SettingsError(f"{path}: {' '.join(problems)}")
     return f"roles {', '.join(sorted(deploy.roles))}"
@@ -70,41 +72,41 @@
     except OSError as error:
         raise SettingsError(f"{path}: can't be read ({error}).") from None
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
-        raise SettingsError(f"{path}: is no TOML ({error}).") from None
+        raise SettingsError(f"{path}: not valid TOML ({error}).") from None
     except msgspec.ValidationError as error:
         raise SettingsError(f"{path}: {error}.") from None
 
 
-def _role(name: str, role: Role, path: Path) -> list[str]:
+def _role_problems(name: str, role: Role, path: Path) -> list[str]:
     key = f"`roles.{name}"
-    found = []
+    messages = []
     if (role.share is None) == (role.count is None):
-        found.append(f"{key}`: give one of `share` and `count`.")
+        messages.append(f"{key}`: give one of `share` and `count`.")
     if role.share is not None and not 0 < role.share <= 1:
-        found.append(f"{key}.share` is {role.share}: give more than 0, at most 1.")
+        messages.append(f"{key}.share` is {role.share}: use a value above 0 and at most 1.")
     if role.count is not None and role.count < 1:
-        found.append(f"{key}.count` is {role.count}: give 1 or more.")
-    found += [
-        f"{key}.serves` has `{served}`: give some of {', '.join(_SERVED)}."
+        messages.append(f"{key}.count` is {role.count}: use 1 or more.")
+    messages += [
+        f"{key}.serves` has `{served}`: use only {', '.join(_SERVED_KINDS)}."
         for served in role.serves
-        if served not in _SERVED
+        if served not in _SERVED_KINDS
     ]
     if role.metrics is not None and not _METRICS.fullmatch(role.metrics):
-        found.append(f"{key}.metrics` is `{role.metrics}`: write it as PORT/PATH.")
+        messages.append(f"{key}.metrics` is `{role.metrics}`: use the form PORT/PATH.")
     if role.template is not None and not (path.parent.parent / role.template).is_file():
-        found.append(f"{key}.template`: there is no file {role.template}.")
+        messages.append(f"{key}.template`: the file {role.template} does not exist.")
     if not role.run.strip():
-        found.append(f"{key}.run` is empty: name a program.")
-    return found
+        messages.append(f"{key}.run` is empty: give a program.")
+    return messages
 
 
-def _together(deploy: DeployFile) -> list[str]:
+def _cross_role_problems(deploy: DeployFile) -> list[str]:
     served = Counter((role.on, kind) for role in deploy.roles.values() for kind in role.serves)
-    found = [
-        f"Two roles on `{on}` serve `{kind}`: leave it to one."
+    messages = [
+        f"Two roles on `{on}` serve `{kind}`: only one may."
         for (on, kind), count in served.items()
         if count > 1
     ]
     if not any(kind == "directory" for _, kind in served):
-        found.append("No role serves `directory`: callers could not ask where to connect.")
-    return found
+        messages.append("No role serves `directory`: callers could not look up addresses.")
+    return messages
--- a/packages/limpethollow-node/src/limpethollow_node/platform/headers.py
+++ b/packages/limpethollow-node/src/limpethollow_node/platform/headers.py
@@ -1,4 +1,4 @@
-"""The platform's header names."""
+"""Names of the platform's HTTP headers."""
 
 from limpethollow_node.engine.messages import HeaderNames
 from limpethollow_node.platform.codec import decode_load
--- a/packages/limpethollow-node/src/limpethollow_node/platform/main.py
+++ b/packages/limpethollow-node/src/limpethollow_node/platform/main.py
@@ -1,10 +1,11 @@
-"""Command line of a process on the platform."""
+"""Command line that starts a process on the platform."""
 
 import signal
 
 if __name__ == "__main__":
-    # A reload signal that comes while the rest is imported would end the process. The settings are
-    # read after that, and looked at again once it runs.
+    # SIGHUP asks for a reload of the settings, but during the imports below it would end the
+    # process. Ignoring it loses nothing: the settings are read after the imports, and the running
+    # process checks the file for changes.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 import argparse
@@ -24,10 +25,9 @@
     """Run one process until the platform stops it.
 
     Returns:
-        0 after a graceful shutdown, 2 for a mistake in the settings, 3 where a listener could not
-        be bound.
+        0 after a graceful shutdown, 2 for invalid settings, 3 if a listener could not be bound.
     """
-    options = _parser().parse_args(arguments)
+    options = _argument_parser().parse_args(arguments)
     try:
         settings = load_settings(settings_path())
     except SettingsError as error:
@@ -43,7 +43,7 @@
     return EXIT_OK
 
 
-def _parser() -> argparse.ArgumentParser:
+def _argument_parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(
         prog="limpethollow-platform",
         description="Runs one limpethollow process on the users' platform.",
@@ -53,14 +53,14 @@
 
 
 def _serve(settings: PlatformSettings) -> None:
-    # The listeners are bound before the rest of the program is imported, which takes 0.13 s of a
-    # start. After an outage of all instances, callers' connections of that time wait in the queue
-    # and are served; refused ones cost a caller its only repeat.
-    doors = Doors.open(settings.listen)
+    # Bind the listeners before importing the rest of the program, which takes 0.13 s. When all
+    # instances restart after an outage, connections made during the import wait in the accept
+    # queue and are served; a refused connection would cost the caller its only retry.
+    listeners = Doors.open(settings.listen)
     with QuietStart():
         from limpethollow_node.platform.runner import run
 
-    run(settings, doors)
+    run(settings, listeners)
 
 
 if __name__ == "__main__":
--- a/packages/limpethollow-node/src/limpethollow_node/platform/membership.py
+++ b/packages/limpethollow-node/src/limpethollow_node/platform/membership.py
@@ -1,4 +1,4 @@
-"""This instance's own object in the store, and the removal of those that are gone for good."""
+"""Registers this instance in the store and removes instances that are permanently gone."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,25 +14,25 @@
 from limpethollow_wire.exceptions import Conflict, LimpethollowError, NotFound
 
 KIND = "instances"
-# The own object may be missing from the list this long after it was written: news takes a moment.
+# The list may lack the own object for this long after the write, as updates take time to arrive.
 MISSING_SECONDS = 3.0
-# Instances whose objects the store has lost write them again within this time, not all at once.
-_SPREAD_SECONDS = 1.0
+# When the store has lost objects, instances spread their rewrites over this time.
+_REWRITE_SPREAD_SECONDS = 1.0
 
 
 class Membership:
-    """Writes this instance's own object when it starts, and again only where it was removed.
+    """Writes this instance's object at its start, and again only if the object was removed.
 
-    A process that leaves keeps its object: most are back within seconds, and its peers are told
-    directly that it leaves.
+    A process that shuts down keeps its object: most restart within seconds, and peers are
+    notified of the shutdown directly.
 
     Args:
         store: The store.
         own: This instance.
         rng: Source for jitter.
-        first_start: Whether the whole system starts for the first time, so that no object of
-            this name is to be expected.
-        store_is_away: Returns whether the store doesn't answer checks now.
+        first_start: Whether the whole system starts for the first time, so that the store has no
+            object of this name yet.
+        store_is_away: Returns whether the store currently fails its checks.
     """
 
     def __init__(
@@ -45,31 +45,31 @@
         store_is_away: Callable[[], bool] = lambda: False,
     ) -> None:
         self._store = store
-        self._own = own
+        self._own_instance = own
         self._expects_object = not first_start
-        self._pause = RetryPause(rng, store_is_away)
+        self._retry_pause = RetryPause(rng, store_is_away)
         self._rng = rng
         self._joining = False
         self._joined = False
         self._era = UNKNOWN_ERA
-        self._delay = 0.0
+        self._rewrite_delay = 0.0
         self._missing_since: float | None = None
 
     def look(self, listed: bool, era: int, now: float) -> bool:
-        """Return whether to join: the own object is missing though this instance runs.
+        """Return whether to write the own object because it is missing from the store.
 
-        It was never written, the store came back from a copy without it, or another instance
-        removed it after a long silence, which may cross a return. Nobody would then link to this
-        one or name it to callers until its next start.
+        It was never written, the store was restored from a copy without it, or another instance
+        removed it after a long silence just as this one came back. Until its next start, no peer
+        would then link to this instance and no caller would get its address.
 
         Args:
             listed: Whether the own object is in the newest list.
             era: The store's era of that list.
-            now: Monotonic second.
+            now: Monotonic time in seconds.
         """
         if era > self._era > UNKNOWN_ERA:
             self._joined = listed
-            self._delay = _SPREAD_SECONDS * self._rng.random()
+            self._rewrite_delay = _REWRITE_SPREAD_SECONDS * self._rng.random()
         self._era = max(self._era, era)
         if listed or self._joining:
             self._joined = self._joined or listed
@@ -85,40 +85,40 @@
         return gone
 
     def store_is_back(self) -> None:
-        """Write the object now where that failed while the store was away."""
-        self._pause.end()
+        """Retry a failed write at once."""
+        self._retry_pause.end()
 
     async def join(self) -> None:
-        """Write the own object, however long that takes."""
+        """Write the own object, and retry until that succeeds."""
         self._joining = self._joined = True
-        delay, self._delay = self._delay, 0.0
+        delay, self._rewrite_delay = self._rewrite_delay, 0.0
         await asyncio.sleep(delay)
         while True:
             try:
-                await self._put()
+                await self._write()
                 self._joining = False
                 return
             except LimpethollowError as error:
                 events.PLATFORM_FAILED.log(call="join", error=str(error))
-                await self._pause.after_failure()
+                await self._retry_pause.after_failure()
 
     async def remove(self, name: str) -> None:
-        """Remove the object of an instance that is gone for good."""
+        """Remove the object of an instance that is permanently gone."""
         try:
             await self._store.delete(KIND, name)
             events.MEMBER_REMOVED.log(member=name)
         except LimpethollowError as error:
             events.PLATFORM_FAILED.log(call="remove", error=str(error))
 
-    async def _put(self) -> None:
-        """Write the object, in one call where the guess holds whether there is an older one."""
-        spec = msgspec.to_builtins(self._own)
+    async def _write(self) -> None:
+        """Write the object, with one call if `_expects_object` is right about its existence."""
+        spec = msgspec.to_builtins(self._own_instance)
         while True:
             try:
                 if self._expects_object:
-                    await self._store.replace(KIND, self._own.name, spec)
+                    await self._store.replace(KIND, self._own_instance.name, spec)
                 else:
-                    await self._store.create(KIND, self._own.name, spec)
+                    await self._store.create(KIND, self._own_instance.name, spec)
                 return
             except NotFound:
                 self._expects_object = False
--- a/packages/limpethollow-node/src/limpethollow_node/platform/pauses.py
+++ b/packages/limpethollow-node/src/limpethollow_node/platform/pauses.py
@@ -1,4 +1,4 @@
-"""Pauses between tries of a call to the store."""
+"""Pauses between attempts of a call to the store."""
 
 import asyncio
 import contextlib
@@ -7,43 +7,44 @@
 
 from limpethollow_policy.process.backoffs import Backoff
 
-# Pauses after calls that failed, in seconds: first and longest. The store's return ends them; the
-# longest counts where the store answers checks and fails other calls.
+# First and longest pause after failed calls, in seconds. The store's recovery ends a pause early;
+# the longest applies when the store answers checks but fails other calls.
 FIRST_PAUSE, LONGEST_PAUSE = 0.2, 2.0
 
 
 class RetryPause:
-    """Waits longer after each failure; while the store is away, until it is back.
+    """Exponential backoff between attempts; ends early when the store is back.
 
     Args:
         rng: Source for jitter.
-        store_is_away: Returns whether the store doesn't answer checks now.
+        store_is_away: Returns whether the store currently fails its checks; the pause is then the
+            longest.
     """
 
-    __slots__ = ("_backoff", "_over", "_store_is_away")
+    __slots__ = ("_backoff", "_ended", "_store_is_away")
 
     def __init__(self, rng: Random, store_is_away: Callable[[], bool]) -> None:
         self._backoff = Backoff(FIRST_PAUSE, LONGEST_PAUSE, rng)
         self._store_is_away = store_is_away
-        self._over = asyncio.Event()
+        self._ended = asyncio.Event()
 
     def succeeded(self) -> None:
-        """Begin anew with the first pause."""
+        """Reset the backoff to the first pause."""
         self._backoff.succeeded()
 
     def end(self) -> None:
-        """End the pause that is under way."""
-        self._over.set()
+        """End the current pause."""
+        self._ended.set()
 
     def next_seconds(self) -> float:
-        """Return the next pause; each one is longer than the one before."""
+        """Return the next pause in seconds; pauses grow with each failure."""
         return self._backoff.failed()
 
     async def after_failure(self) -> None:
-        """Wait before another try."""
+        """Wait before the next attempt."""
         seconds = self.next_seconds()
         if self._store_is_away():
             seconds = LONGEST_PAUSE
-        self._over.clear()
+        self._ended.clear()
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(self._over.wait(), seconds)
+            await asyncio.wait_for(self._ended.wait(), seconds)
--- a/packages/limpethollow-node/src/limpethollow_node/platform/process.py
+++ b/packages/limpethollow-node/src/limpethollow_node/platform/process.py
@@ -1,4 +1,4 @@
-"""One process on the platform: wires the product to its listeners, store and settings."""
+"""Wires the product to the platform's listeners, store and settings in one process."""
 
 import asyncio
 import time
@@ -49,55 +49,55 @@
 from limpethollow_policy.version.routes import RoutingVersion, VersionBook
 from limpethollow_wire.exceptions import LimpethollowError, SettingsError
 
-# Kinds whose changes come in rows, as when a service is replaced. Configurations do not.
+# Kinds whose changes come in bursts, as when a service is replaced. Configurations do not.
 _PACED_KINDS = frozenset({"servers", KIND})
-# When the whole system starts for the first time, searchers register for some five seconds, and
-# nobody calls before all is up.
+# When the whole system starts for the first time, searchers take about five seconds to register,
+# and no caller sends requests before all are up.
 _FIRST_START_SECONDS = 6.0
 _TICK_SECONDS = 0.25
-# Bandwidth that goes with a core: a core carries some 9,000 calls a second of 400 bytes, 30 Mbit/s.
+# Bandwidth that one core can use: about 9,000 calls a second of 400 bytes, which is 30 Mbit/s.
 _MBPS_PER_CORE = 30.0
 
 
 class PlatformProcess:
-    """Everything that one process runs.
+    """Owns all components of one process and runs them.
 
     Usage:
-        process = PlatformProcess(settings, doors, logs)
+        process = PlatformProcess(settings, listeners, logs)
         await process.run()
 
     Args:
         settings: The platform's settings.
-        doors: The listeners for callers.
-        logs: Where log lines go.
+        listeners: The bound listeners for callers.
+        logs: The handler that writes log lines.
     """
 
-    def __init__(self, settings: PlatformSettings, doors: Doors, logs: StdoutHandler) -> None:
+    def __init__(self, settings: PlatformSettings, listeners: Doors, logs: StdoutHandler) -> None:
         self._settings = settings
-        self._doors = doors
+        self._listeners = listeners
         self._logs = logs
         self._settings_file = SettingsFile(settings_path())
         self._rng = Random()
         self.metrics = Metrics()
         bounds = settings.bounds
         self._slack_claim = SlackClaim(bounds.budget_window_s, first_start=settings.bootstrap)
-        self._budget = SendBudget(
+        self._send_budget = SendBudget(
             bounds.retry_budget_ratio,
             bounds.retry_budget_slack,
             bounds.budget_window_s,
             self._slack_claim,
         )
         self._dispatch = Dispatch(
-            Fleet(settings.zone, self._rng), self._budget, HEADERS, self.metrics
+            Fleet(settings.zone, self._rng), self._send_budget, HEADERS, self.metrics
         )
         self._engine = Engine(self._dispatch, VersionBook())
-        self._roster = Roster(_own_instance(settings), self._instances_changed)
+        self._roster = Roster(_own_instance(settings), self._on_instances_changed)
         self._catalog = Catalog(
             self._dispatch,
             self._engine,
             self._roster,
             settings.removal_delay,
-            self._version_came,
+            self._on_version,
         )
         role = WatchRole(settings.node_name, self._rng)
         self._peers = Peers(
@@ -110,43 +110,43 @@
             settings.seed_hosts,
         )
         self._engine.desk = BatchDesk(self._dispatch, self._peers)
-        self._lifetime = ListLifetime(bounds.ttl_max_s)
+        self._list_ttl = ListLifetime(bounds.ttl_max_s)
         self._servers: list[CallerServer] = []
-        self._front = self._server(self._engine.handle)
-        self._directory = self._server(
-            DirectoryAnswers(self._addresses_for, self._list_lifetime).handle
+        self._front = self._add_server(self._engine.handle)
+        self._directory = self._add_server(
+            DirectoryAnswers(self._addresses_for_caller, self._list_ttl_seconds).handle
         )
-        self._life = Lifecycle(
+        self._lifecycle = Lifecycle(
             self._dispatch, self._engine, self._catalog, self._roster, self._peers, self._front
         )
-        self._store = Store(settings.platform.addr, self.metrics, self._store_restored)
-        self._check = StoreCheck(
+        self._store = Store(settings.platform.addr, self.metrics, self._on_store_restored)
+        self._store_check = StoreCheck(
             self._store,
             KIND,
             settings.node_name,
             self._peers.stop_following,
-            self._store_is_back,
+            self._on_store_back,
         )
         self._membership = Membership(
             self._store,
             self._roster.own,
             self._rng,
             first_start=settings.bootstrap,
-            store_is_away=lambda: self._check.away,
+            store_is_away=lambda: self._store_check.away,
         )
         self._quarantine_keeper = QuarantineKeeper(
             self._store,
             self._dispatch.quarantines,
-            RetryPause(self._rng, lambda: self._check.away),
+            RetryPause(self._rng, lambda: self._store_check.away),
             lambda: self._peers.follows,
             first_start=settings.bootstrap,
         )
-        self._feeds = self._new_feeds()
+        self._feeds = self._create_feeds()
         *others, members = self._feeds
         self._follower = StoreFollower(
             members,
             others,
-            self._check,
+            self._store_check,
             role,
             self._roster,
             self._catalog,
@@ -155,24 +155,24 @@
             first_start=settings.bootstrap,
         )
         self._services: frozenset[str] = frozenset()
-        self._show_state()
+        self._register_state_gauges()
 
     async def run(self) -> None:
-        """Serve until asked to leave and everything under way has ended."""
+        """Serve until shutdown is requested and all requests in flight have ended."""
         events.STARTED.log(settings=self._settings.node_name)
         await self._listen()
         self._follower.choose(asyncio.get_running_loop().time())
-        tasks = [asyncio.create_task(_told(job)) for job in self._jobs()]
+        tasks = [asyncio.create_task(_run_logged(job)) for job in self._background_jobs()]
         try:
-            await self._life.wait_for_leave()
-            await self._life.leave(self._servers, self._settings.bounds.grace_s)
+            await self._lifecycle.wait_for_leave()
+            await self._lifecycle.leave(self._servers, self._settings.bounds.grace_s)
         finally:
             for task in tasks:
                 task.cancel()
         events.STOPPED.log()
 
     def reload_settings(self) -> None:
-        """Read the settings file again; a file with a mistake changes nothing."""
+        """Read the settings file again; an invalid file changes nothing."""
         try:
             settings = self._settings_file.read()
         except SettingsError as error:
@@ -182,36 +182,36 @@
             self._apply(settings)
 
     def _apply(self, settings: PlatformSettings) -> None:
-        """Take over what can change while the process runs: the bounds."""
+        """Apply the settings that can change at run time, which are the bounds."""
         bounds = settings.bounds
         self._settings = settings
-        self._budget.set_bounds(
+        self._send_budget.set_bounds(
             bounds.retry_budget_ratio,
             bounds.retry_budget_slack,
             bounds.budget_window_s,
             asyncio.get_running_loop().time(),
         )
         self._catalog.set_removal_delay(settings.removal_delay)
-        self._lifetime.longest = bounds.ttl_max_s
+        self._list_ttl.longest = bounds.ttl_max_s
         events.SETTINGS_RELOADED.log(bounds=str(bounds))
 
     def ask_to_leave(self) -> None:
-        """Begin the graceful shutdown."""
-        self._life.ask_to_leave()
+        """Start the graceful shutdown."""
+        self._lifecycle.ask_to_leave()
 
-    def _show_state(self) -> None:
+    def _register_state_gauges(self) -> None:
         self._catalog.show_ages(self.metrics)
         loop = asyncio.get_running_loop()
         self.metrics.gauge("own_delay_seconds", lambda: self._dispatch.own_delay.allowance)
         self.metrics.gauge("admitted_rate", lambda: self._engine.admitted_rate)
         self.metrics.gauge("store_era", lambda: self._store.era)
-        self.metrics.gauge("ready", lambda: self._life.is_ready)
+        self.metrics.gauge("ready", lambda: self._lifecycle.is_ready)
         self.metrics.gauge("follows_store", lambda: self._peers.follows)
         self.metrics.gauge("quarantined_requests", lambda: self._dispatch.quarantines.count)
         self.metrics.gauge("instances_heard", lambda: self._peers.heard_count(loop.time()))
 
-    def _new_feeds(self) -> list[Feed]:
-        """Return a feed for each kind, that of instances last."""
+    def _create_feeds(self) -> list[Feed]:
+        """Return one feed per kind, with that of instances last."""
         evacuations = self._settings.follows_evacuations
         sinks = sinks_for(self._catalog, self._peers.tell, evacuations=evacuations)
         started = asyncio.get_running_loop().time()
@@ -222,28 +222,32 @@
                 kind,
                 sink,
                 self._rng,
-                partial(self._listed, kind),
+                partial(self._on_listed, kind),
                 ChangePace(slow_until) if kind in _PACED_KINDS else None,
-                lambda: self._check.away,
+                lambda: self._store_check.away,
             )
             for kind, sink in sinks.items()
         ]
 
-    def _listed(self, kind: str) -> None:
+    def _on_listed(self, kind: str) -> None:
         self._follower.choose(asyncio.get_running_loop().time())
         if kind == KIND:
             self._peers.link_up()
         if all(feed.listed for feed in self._feeds):
             self._peers.announce()
 
-    def _jobs(self) -> list:
-        # Where all start for the first time, the first list of instances shall have all of them.
+    def _background_jobs(self) -> list:
+        # When the whole system starts for the first time, write the own object at once, so that the
+        # first list of instances is complete.
         joining = [self._membership.join()] if self._settings.bootstrap else []
-        doors = [(self._front, self._doors.front), (self._directory, self._doors.directory)]
+        listeners = [
+            (self._front, self._listeners.front),
+            (self._directory, self._listeners.directory),
+        ]
         return [
             *(feed.run() for feed in self._feeds),
-            self._life.open(doors),
-            self._check.run(),
+            self._lifecycle.open(listeners),
+            self._store_check.run(),
             self._peers.run(),
             self._quarantine_keeper.run(),
             self._tick(),
@@ -252,27 +256,27 @@
 
     async def _listen(self) -> None:
         listen = self._settings.listen
-        ready = self._server(ReadyAnswers(lambda: self._life.is_ready).handle)
+        ready = self._add_server(ReadyAnswers(lambda: self._lifecycle.is_ready).handle)
         await ready.serve(open_listener(*split_address(listen.ready)))
         first, last = self._settings.internal_port_range
         await self._peers.serve(self._settings.ip, first)
-        await self._server(self._show_metrics).serve(open_listener("0.0.0.0", last))
+        await self._add_server(self._serve_metrics).serve(open_listener("0.0.0.0", last))
 
     def _restart_feeds(self) -> None:
         for feed in self._feeds:
             feed.restart()
 
-    def _store_is_back(self) -> None:
+    def _on_store_back(self) -> None:
         self._restart_feeds()
         self._membership.store_is_back()
         self._quarantine_keeper.store_is_back()
 
-    def _store_restored(self) -> None:
+    def _on_store_restored(self) -> None:
         self._restart_feeds()
         self._quarantine_keeper.store_restored()
 
     async def _tick(self) -> None:
-        """Do what has no event of its own to wait for."""
+        """Run the periodic work that no event triggers."""
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(_TICK_SECONDS)
@@ -285,54 +289,54 @@
         self._logs.report()
         if self._settings_file.changed():
             self.reload_settings()
-        self._life.tick(now)
+        self._lifecycle.tick(now)
         self._slack_claim.heard(len(self._roster) - 1, self._peers.heard_count(now), now)
         self._follower.tick(now)
         for server in self._servers:
             server.sweep(now)
         look_between_requests(busy=self._engine.is_busy)
 
-    def _server(self, handler: Callable[[Exchange], None]) -> CallerServer:
-        server = CallerServer(handler, self._refused)
+    def _add_server(self, handler: Callable[[Exchange], None]) -> CallerServer:
+        server = CallerServer(handler, self._on_refused)
         self._servers.append(server)
         return server
 
-    def _refused(self, error: LimpethollowError) -> None:
+    def _on_refused(self, error: LimpethollowError) -> None:
         self.metrics.count("refusals", error.code)
         events.REQUEST_REFUSED.log(code=error.code, error=str(error))
 
-    def _version_came(self, version: RoutingVersion) -> None:
+    def _on_version(self, version: RoutingVersion) -> None:
         self._services = version.service_names()
         self._front.limits = version.limits
 
-    def _instances_changed(self) -> None:
+    def _on_instances_changed(self) -> None:
         self._slack_claim.listed(self._roster.is_listed, asyncio.get_running_loop().time())
         self._dispatch.share_among(self._roster.sharers)
 
-    def _addresses_for(self, domain: str) -> list[str]:
+    def _addresses_for_caller(self, domain: str) -> list[str]:
         searchers = self._dispatch.fleet.domains(self._services)
         live = self._roster.live
         chosen = entries_for(live, domain, searchers, self._roster.known)
         return [instance.address for instance in chosen] or [self._roster.own.address]
 
-    def _list_lifetime(self) -> float:
+    def _list_ttl_seconds(self) -> float:
         names = [instance.name for instance in self._roster.live]
-        return self._lifetime.seconds(names, asyncio.get_running_loop().time())
+        return self._list_ttl.seconds(names, asyncio.get_running_loop().time())
 
-    def _show_metrics(self, exchange: Exchange) -> None:
+    def _serve_metrics(self, exchange: Exchange) -> None:
         kind = [(b"Content-Type", b"text/plain; version=0.0.4")]
         exchange.respond(Reply(200, kind, self.metrics.render().encode()))
 
 
-async def _told(job: Coroutine[Any, Any, None]) -> None:
-    """Run a job of the process, and tell if it ends by an error: nobody else waits for it."""
+async def _run_logged(job: Coroutine[Any, Any, None]) -> None:
+    """Run a job and log an error that ends it, since nothing awaits the task's result."""
     try:
         await job
     except Exception as error:
         events.DEFECT.log(where=job.__qualname__, error=repr(error), exc_info=True)
 
 
-def _strength(limits: Limits) -> float:
+def _instance_strength(limits: Limits) -> float:
     return min(limits.cpu_share * limits.cores, limits.link_mbps / _MBPS_PER_CORE)
 
 
@@ -343,6 +347,6 @@
         address=settings.listen.front,
         peer_address=f"{settings.ip}:{first}",
         failure_domain=settings.zone,
-        strength=_strength(settings.limits),
+        strength=_instance_strength(settings.limits),
         incarnation=time.time_ns() // 1_000_000,
     )
--- a/packages/limpethollow-node/src/limpethollow_node/platform/quarantines.py
+++ b/packages/limpethollow-node/src/limpethollow_node/platform/quarantines.py
@@ -1,4 +1,4 @@
-"""Quarantined requests in the store, where they outlast all instances."""
+"""Persists quarantined requests in the store, so that they outlive all instances."""
 
 import asyncio
 import contextlib
@@ -17,25 +17,26 @@
 from limpethollow_wire.exceptions import BadRequest, Conflict, LimpethollowError, NotFound
 
 KIND = "quarantines"
-# How often a relay looks whether an operator has released a request.
-_LOOK_SECONDS = 60.0
+# How often a relay reads the store to see whether an operator has released a request.
+_READ_INTERVAL_SECONDS = 60.0
 _TICK_SECONDS = 0.25
-# A process that has just started takes requests before it knows which are quarantined, so it looks
-# as soon as it follows the store, if it does so soon.
-_START_TICK_SECONDS = 0.02
-_START_SECONDS = 2.0
-# An instance that begins to follow the store this long after its return leaves that to the others.
-_RESTORED_SECONDS = 10.0
-# A release may come milliseconds after the quarantine, from another instance. Its delete must not
+# A process that has just started accepts requests before it knows which are quarantined. For this
+# time after its start it ticks faster, so that it reads them as soon as it follows the store.
+_STARTUP_TICK_SECONDS = 0.02
+_STARTUP_SECONDS = 2.0
+# An instance that starts to follow the store later than this after a restore leaves the rewrite to
+# the others.
+_REWRITE_WINDOW_SECONDS = 10.0
+# Another instance may release a request milliseconds after its quarantine. The delete must not
 # reach the store before the write.
 _DELETE_DELAY_SECONDS = 1.0
 
 
 class QuarantineKeeper:
-    """Writes what this instance puts into quarantine, and reads what others did.
+    """Writes the requests that this instance quarantines, and reads those of others.
 
-    Instances tell each other on their links. The store is for a start of all, and for operators;
-    only relays read it.
+    Instances inform each other over their links. The store serves a restart of all instances, and
+    operators; only relays read it.
 
     Usage:
         keeper = QuarantineKeeper(store, quarantines, pause, follows, first_start=False)
@@ -43,21 +44,21 @@
 
     Args:
         store: The store.
-        quarantines: The evidence on requests that end searchers.
-        pause: Waits between tries of a write.
-        follows: Returns whether this instance follows the store now.
+        quarantines: The evidence on requests that crash searchers.
+        pause: Waits between attempts after a failed call.
+        follows: Returns whether this instance currently follows the store.
         first_start: Whether the whole system starts for the first time, so that there is nothing
             to read yet.
     """
 
     __slots__ = (
         "_follows",
-        "_has_news",
-        "_next_look",
+        "_has_pending_writes",
+        "_next_read_at",
         "_pause",
         "_quarantines",
         "_restored_at",
-        "_starts_until",
+        "_startup_until",
         "_store",
         "_to_delete",
         "_to_write",
@@ -77,28 +78,29 @@
         self._pause = pause
         self._follows = follows
         now = _now()
-        self._next_look = now + _LOOK_SECONDS if first_start else now
-        self._starts_until = now if first_start else now + _START_SECONDS
+        self._next_read_at = now + _READ_INTERVAL_SECONDS if first_start else now
+        self._startup_until = now if first_start else now + _STARTUP_SECONDS
         self._restored_at: float | None = None
         self._to_write: dict[str, CrashReport] = {}
         self._to_delete: dict[str, float] = {}
-        self._has_news = asyncio.Event()
-        quarantines.on_quarantined = self._quarantined
-        quarantines.on_released = self._delete_later
+        self._has_pending_writes = asyncio.Event()
+        quarantines.on_quarantined = self._schedule_write
+        quarantines.on_released = self._schedule_delete
 
     def store_is_back(self) -> None:
-        """Try now what failed while the store was away."""
+        """Retry failed calls at once."""
         self._pause.end()
 
     def store_restored(self) -> None:
-        """Write again what the store may have lost, and read what it holds, if it is followed.
+        """Schedule a rewrite of what the store may have lost, and a read of what it has.
 
-        The first answer of a store that was away comes before its feeds are connected again.
+        Both wait until this instance follows the store: the first answer after a restore arrives
+        before the feeds are connected again.
         """
         self._restored_at = _now()
 
     async def run(self) -> None:
-        """Keep the store and the evidence in step until cancelled."""
+        """Synchronize the store and the evidence until cancelled."""
         while True:
             try:
                 await self._step()
@@ -107,39 +109,39 @@
                 await self._pause.after_failure()
             else:
                 self._pause.succeeded()
-                await self._wait_for_news()
+                await self._wait_for_changes()
 
-    def _quarantined(self, report: CrashReport) -> None:
+    def _schedule_write(self, report: CrashReport) -> None:
         self._to_write[report.fingerprint] = report
-        self._has_news.set()
+        self._has_pending_writes.set()
 
-    def _delete_later(self, fingerprint: str) -> None:
+    def _schedule_delete(self, fingerprint: str) -> None:
         self._to_delete[fingerprint] = _now() + _DELETE_DELAY_SECONDS
 
-    async def _wait_for_news(self) -> None:
-        tick = _START_TICK_SECONDS if _now() < self._starts_until else _TICK_SECONDS
+    async def _wait_for_changes(self) -> None:
+        tick = _STARTUP_TICK_SECONDS if _now() < self._startup_until else _TICK_SECONDS
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(self._has_news.wait(), tick)
-        self._has_news.clear()
+            await asyncio.wait_for(self._has_pending_writes.wait(), tick)
+        self._has_pending_writes.clear()
 
     async def _step(self) -> None:
         if self._restored_at is not None and self._follows():
-            self._write_again()
+            self._schedule_rewrite()
         await self._write_new()
         for fingerprint in self._quarantines.expire():
-            self._delete_later(fingerprint)
+            self._schedule_delete(fingerprint)
         await self._delete_due()
-        if self._follows() and _now() >= self._next_look:
-            await self._look()
+        if self._follows() and _now() >= self._next_read_at:
+            await self._read_all()
 
-    def _write_again(self) -> None:
-        """Have all that is quarantined written and read, unless that was up to other followers."""
+    def _schedule_rewrite(self) -> None:
+        """Schedule a write and read of all quarantined requests if the restore was recent."""
         restored_at, self._restored_at = self._restored_at, None
-        if _now() > restored_at + _RESTORED_SECONDS:
+        if _now() > restored_at + _REWRITE_WINDOW_SECONDS:
             return
         for report in self._quarantines.quarantined_reports():
-            self._quarantined(report)
-        self._next_look = _now()
+            self._schedule_write(report)
+        self._next_read_at = _now()
 
     async def _write_new(self) -> None:
         for fingerprint, report in list(self._to_write.items()):
@@ -159,26 +161,27 @@
         try:
             await self._store.create(KIND, report.fingerprint, spec)
         except Conflict:
-            # Another instance found the same, or it was released and has ended searchers again.
+            # Another instance has quarantined the request too, or the request was released and has
+            # crashed searchers again.
             await self._store.replace(KIND, report.fingerprint, spec)
 
-    async def _look(self) -> None:
+    async def _read_all(self) -> None:
         listing = await self._store.list(KIND, allow_stale=True)
-        self._starts_until = _now()
-        self._next_look = _now() + _LOOK_SECONDS
+        self._startup_until = _now()
+        self._next_read_at = _now() + _READ_INTERVAL_SECONDS
         for stored in listing.objects:
             try:
-                self._take(decode_quarantine(stored))
+                self._apply(decode_quarantine(stored))
             except BadRequest as error:
                 events.OBJECT_UNREADABLE.log(error=str(error), start=stored.name)
 
-    def _take(self, stored: StoredQuarantine) -> None:
+    def _apply(self, stored: StoredQuarantine) -> None:
         report = stored.report
         self._quarantines.learn(report, KIND)
         if stored.released:
             self._quarantines.release(report.fingerprint, "operator")
         if self._quarantines.is_released(report):
-            self._delete_later(report.fingerprint)
+            self._schedule_delete(report.fingerprint)
 
     async def _delete(self, fingerprint: str) -> None:
         try:
--- a/packages/limpethollow-node/src/limpethollow_node/platform/runner.py
+++ b/packages/limpethollow-node/src/limpethollow_node/platform/runner.py
@@ -1,4 +1,4 @@
-"""Runs one process on its event loop, with its signals."""
+"""Runs one process on its event loop and installs its signal handlers."""
 
 import asyncio
 import signal
@@ -11,22 +11,22 @@
 from limpethollow_node.process.stdoutlogs import StdoutHandler, start_stdout_logs
 
 
-def run(settings: PlatformSettings, doors: Doors) -> None:
+def run(settings: PlatformSettings, listeners: Doors) -> None:
     """Run until the platform stops the process.
 
     Args:
         settings: The platform's settings.
-        doors: The listeners for callers.
+        listeners: The bound listeners for callers.
     """
     logs = start_stdout_logs(settings.node_name)
-    # On uvloop a shard call takes 0.108 ms of processor time, all included, against 0.142 ms on
-    # the library's own loop (benchmarks/engines.py, five rounds of 120 searches).
+    # A shard call takes 0.108 ms of processor time in total on uvloop, against 0.142 ms on the
+    # standard asyncio loop (benchmarks/engines.py, five rounds of 120 searches).
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(_run(settings, doors, logs))
+        runner.run(_run(settings, listeners, logs))
 
 
-async def _run(settings: PlatformSettings, doors: Doors, logs: StdoutHandler) -> None:
-    process = PlatformProcess(settings, doors, logs)
+async def _run(settings: PlatformSettings, listeners: Doors, logs: StdoutHandler) -> None:
+    process = PlatformProcess(settings, listeners, logs)
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGTERM, process.ask_to_leave)
     loop.add_signal_handler(signal.SIGINT, process.ask_to_leave)
--- a/packages/limpethollow-node/src/limpethollow_node/platform/settings.py
+++ b/packages/limpethollow-node/src/limpethollow_node/platform/settings.py
@@ -8,17 +8,17 @@
 from limpethollow_wire.exceptions import SettingsError
 
 VARIABLE = "LIMPETHOLLOW_SETTINGS"
-# Longest time that a removed searcher may be kept: its entry may be back within about two seconds
-# where it lapsed only because the store was away.
-_LAPSE_SECONDS = 2.2
-# Part of the platform's rules with which operators may evacuate failure domains.
-_EVACUATIONS = "places"
-# What is kept back of the time within which a leaving searcher must get no more requests.
-_DRAIN_RESERVE = 0.8
+# Maximum time for which a removed searcher is kept. An entry that lapsed only because the store was
+# unavailable may reappear within about two seconds.
+_MAX_REMOVAL_DELAY = 2.2
+# The contract under which operators may evacuate failure domains.
+_EVACUATION_CONTRACT = "places"
+# Margin in seconds subtracted from the time after which a draining searcher must get no requests.
+_DRAIN_MARGIN = 0.8
 
 
 class Listen(msgspec.Struct, frozen=True):
-    """Addresses to listen on, as host and port; missing where the process doesn't serve them."""
+    """Addresses to listen on, as host and port."""
 
     front: str
     ready: str
@@ -26,14 +26,14 @@
 
 
 class Limits(msgspec.Struct, frozen=True, rename="camel"):
-    """What the instance may use.
+    """Resource limits of the instance.
 
     Attributes:
         cpu_share: Share of a core.
-        cores: How many times as fast as one core that share runs.
-        memory_mb: Memory of a process in megabytes.
-        max_fds: Descriptors of a process.
-        link_mbps: Bandwidth of its network.
+        cores: Speed of that share relative to one core.
+        memory_mb: Memory per process in megabytes.
+        max_fds: File descriptors per process.
+        link_mbps: Network bandwidth in Mbit/s.
     """
 
     cpu_share: float = 1.0
@@ -44,7 +44,7 @@
 
 
 class Bounds(msgspec.Struct, frozen=True, rename="camel"):
-    """Bounds that the platform holds the system to; times in the unit of the name."""
+    """Bounds that the platform requires the system to keep; times in the unit of the name."""
 
     drain_ms: float = 3000
     grace_s: float = 6
@@ -60,8 +60,8 @@
 
     Attributes:
         addr: Its address.
-        writes_per_s: Writing calls a second that all instances together may make.
-        reads_per_s: Reading calls a second that all instances together may make.
+        writes_per_s: Write calls per second allowed for all instances together.
+        reads_per_s: Read calls per second allowed for all instances together.
     """
 
     addr: str
@@ -70,20 +70,20 @@
 
 
 class PlatformSettings(msgspec.Struct, frozen=True, rename="camel"):
-    """All settings that this system uses; others are ignored, as new ones may come.
+    """All settings that this system uses; unknown ones are ignored for forward compatibility.
 
     Attributes:
         node_name: Name of the instance; kept across restarts.
-        ip: Its address.
-        zone: Its failure domain.
+        ip: IP address of the instance.
+        zone: Failure domain of the instance.
         listen: Addresses to listen on.
-        internal_port_range: First and last port that instances may use among themselves.
-        limits: What the instance may use.
-        bounds: Bounds to keep.
+        internal_port_range: First and last port for traffic between instances.
+        limits: Resource limits of the instance.
+        bounds: Bounds that the system must keep.
         platform: The store.
-        seeds: Addresses of a few instances.
+        seeds: Addresses of a few instances to contact at the start.
         bootstrap: Whether the whole system starts for the first time.
-        contracts: Parts of the platform's rules that are in force; empty where it doesn't say.
+        contracts: Contracts of the platform that are in force; empty if unspecified.
     """
 
     node_name: str
@@ -100,30 +100,31 @@
 
     @property
     def follows_evacuations(self) -> bool:
-        """Return whether operators may evacuate failure domains here."""
-        return not self.contracts or _EVACUATIONS in self.contracts
+        """Return whether operators may evacuate failure domains on this platform."""
+        return not self.contracts or _EVACUATION_CONTRACT in self.contracts
 
     @property
     def seed_hosts(self) -> tuple[str, ...]:
-        """Return the IP addresses of instances that may be asked before any is known."""
+        """Return the hosts of the instances to contact before any is known."""
         return tuple(split_address(seed)[0] for seed in self.seeds)
 
     @property
     def removal_delay(self) -> float:
-        """Return the seconds for which a searcher without an entry is still a last choice."""
-        return max(0.0, min(_LAPSE_SECONDS, self.bounds.drain_ms / 1000 - _DRAIN_RESERVE))
+        """Return for how many seconds a searcher without an entry is kept as a last resort."""
+        return max(0.0, min(_MAX_REMOVAL_DELAY, self.bounds.drain_ms / 1000 - _DRAIN_MARGIN))
 
 
 def settings_path() -> Path:
-    """Return where the settings file is.
+    """Return the path of the settings file.
 
     Raises:
-        SettingsError: The environment doesn't say.
+        SettingsError: The environment variable is not set.
     """
     path = os.environ.get(VARIABLE)
     if not path:
         raise SettingsError(
-            f"The environment has no {VARIABLE}.", remedy="Set it to the settings file's path."
+            f"The environment variable {VARIABLE} is not set.",
+            remedy="Set it to the path of the settings file.",
         )
     return Path(path)
 
@@ -132,7 +133,7 @@
     """Read and check the settings file.
 
     Raises:
-        SettingsError: The file can't be read, or a field is missing or of another type.
+        SettingsError: The file can't be read, or a field is missing or has the wrong type.
     """
     try:
         return msgspec.json.decode(path.read_bytes(), type=PlatformSettings)
@@ -143,29 +144,29 @@
 
 
 class SettingsFile:
-    """The settings file, which may change with a signal or without any.
+    """The settings file; detects changes that come without a reload signal.
 
     Args:
-        path: Where it is.
+        path: Path of the file.
     """
 
-    __slots__ = ("_path", "_seen")
+    __slots__ = ("_path", "_last_stamp")
 
     def __init__(self, path: Path) -> None:
         self._path = path
-        self._seen = self._stamp()
+        self._last_stamp = self._stamp()
 
     def changed(self) -> bool:
-        """Return whether the file is another one than at the last call."""
+        """Return whether the file has changed since the last call."""
         stamp = self._stamp()
-        changed, self._seen = stamp != self._seen, stamp
+        changed, self._last_stamp = stamp != self._last_stamp, stamp
         return changed
 
     def read(self) -> PlatformSettings:
         """Read and check the file.
 
         Raises:
-            SettingsError: It can't be used.
+            SettingsError: The file can't be read or is invalid.
         """
         return load_settings(self._path)
 
@@ -178,6 +179,6 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Return host and port of an address."""
+    """Split an address into host and port."""
     host, _, port = address.rpartition(":")
     return host, int(port)
--- a/packages/limpethollow-node/src/limpethollow_node/platform/sinks.py
+++ b/packages/limpethollow-node/src/limpethollow_node/platform/sinks.py
@@ -1,4 +1,4 @@
-"""Where the kinds of the store end up in the product."""
+"""Sinks that pass stored objects of each kind on to the product."""
 
 from collections.abc import Callable
 from typing import Generic, TypeVar
@@ -33,38 +33,38 @@
 
 
 class Sink:
-    """Takes what a feed reads; a subclass for each kind."""
+    """Receives the objects and changes that a feed reads; base class."""
 
     @property
     def revision(self) -> Revision | None:
-        """Return the revision from which the kind can be watched; None where it must be listed."""
+        """Return the revision from which the kind can be watched; None if it must be listed."""
         raise NotImplementedError
 
     @property
     def known(self) -> bool:
-        """Return whether anything is known of the kind, from whomever."""
+        """Return whether any state of the kind is known, from the store or a peer."""
         return self.revision is not None
 
     def listed(self, objects: list[StoredObject], revision: Revision) -> None:
-        """Take all objects of the kind."""
+        """Replace the known state by all objects of the kind."""
         raise NotImplementedError
 
     def changed(self, changes: list[Change], revision: Revision) -> None:
-        """Take the changes up to a revision."""
+        """Apply the changes up to a revision."""
         raise NotImplementedError
 
 
 class ConfigurationSink(Sink):
-    """Puts the operator's newest configuration in force and tells the peers.
+    """Applies the operator's newest configuration and sends it to the peers.
 
     Args:
-        catalog: Gets the versions.
+        catalog: Receives the versions.
         tell: Sends a frame to the peers.
     """
 
     def __init__(self, catalog: Catalog, tell: Tell) -> None:
         self._catalog = catalog
-        self._tell = tell
+        self._send_to_peers = tell
         self._revision: Revision | None = None
 
     @property
@@ -74,28 +74,28 @@
 
     @property
     def known(self) -> bool:
-        """Return whether the store was read, or a peer has told a version."""
+        """Return whether the store was read or a peer has sent a version."""
         return self._revision is not None or self._catalog.version is not None
 
     def listed(self, objects: list[StoredObject], revision: Revision) -> None:
-        """Take the configuration among all objects of its kind."""
-        # Peers aren't told: they have listed it themselves, or see by heartbeats that they lack it.
+        """Apply the configuration among all objects of its kind."""
+        # Not sent to peers: they have listed it too, or learn from heartbeats that they lack it.
         for stored in objects:
-            self._take(stored)
+            self._apply(stored)
         self._revision = revision
         self._catalog.confirm_version()
 
     def changed(self, changes: list[Change], revision: Revision) -> None:
-        """Put a configuration in force; a deletion leaves the last one as it is."""
+        """Apply a new configuration; a deletion leaves the current one in force."""
         for change in changes:
-            version = None if change.deleted else self._take(change.object)
+            version = None if change.deleted else self._apply(change.object)
             if version is not None:
-                self._tell(VersionNews(version))
+                self._send_to_peers(VersionNews(version))
         self._revision = revision
         self._catalog.confirm_version()
 
-    def _take(self, stored: StoredObject) -> RoutingVersion | None:
-        """Put a version in force and return it; None where it can't be."""
+    def _apply(self, stored: StoredObject) -> RoutingVersion | None:
+        """Apply a version and return it; None if it was not accepted."""
         if stored.name != CONFIGURATION_NAME:
             return None
         try:
@@ -107,13 +107,13 @@
 
 
 class BeliefSink(Sink, Generic[T]):
-    """Keeps a belief as the store has it, and tells the peers what changed.
+    """Keeps the local copy of a kind in step with the store and sends changes to the peers.
 
     Args:
         kind: The kind.
-        belief: The belief.
-        decode: Decodes an object; raises `BadRequest` where it can't be used.
-        news: The kind of frame that tells peers.
+        belief: The local copy.
+        decode: Decodes an object; raises `BadRequest` if the object is invalid.
+        news: Type of the frame that carries changes to peers.
         tell: Sends a frame to the peers.
     """
 
@@ -128,43 +128,45 @@
         self._kind = kind
         self._belief = belief
         self._decode = decode
-        self._news = news
-        self._tell = tell
+        self._frame_type = news
+        self._send_to_peers = tell
 
     @property
     def revision(self) -> Revision | None:
-        """Return the revision up to which the belief is known, from whomever."""
+        """Return the revision of the local copy, whether from the store or a peer."""
         return self._belief.revision if self._belief.is_known else None
 
     def listed(self, objects: list[StoredObject], revision: Revision) -> None:
-        """Take all objects; peers that lack some see that by heartbeats, and ask."""
+        """Replace the local copy; peers that lack objects learn so from heartbeats and ask."""
         items = {name: item for name, item in map(self._read, objects) if item is not None}
         if not self._belief.replace(items, revision):
             known = self._belief.revision
             events.LIST_DROPPED.log(kind=self._kind, revision=revision, known=known)
 
     def changed(self, changes: list[Change], revision: Revision) -> None:
-        """Take changes."""
-        put: dict[str, T] = {}
-        gone: set[str] = set()
+        """Apply the changes and send them to the peers."""
+        changed_items: dict[str, T] = {}
+        deleted_names: set[str] = set()
         for change in changes:
             name, item = change.object.name, None
             if not change.deleted:
                 name, item = self._read(change.object)
-            put.pop(name, None)
-            gone.discard(name)
+            changed_items.pop(name, None)
+            deleted_names.discard(name)
             if item is None:
-                gone.add(name)
+                deleted_names.add(name)
             else:
-                put[name] = item
+                changed_items[name] = item
         base = self._belief.changed_at
         if revision <= self._belief.revision:
             return
-        self._belief.change(self._belief.revision, revision, put, sorted(gone))
+        self._belief.change(self._belief.revision, revision, changed_items, sorted(deleted_names))
         if changes:
             era, number = revision
-            news = self._news(base.number, number, list(put.values()), sorted(gone), era)
-            self._tell(news)
+            frame = self._frame_type(
+                base.number, number, list(changed_items.values()), sorted(deleted_names), era
+            )
+            self._send_to_peers(frame)
 
     def _read(self, stored: StoredObject) -> tuple[str, T | None]:
         try:
@@ -175,10 +177,10 @@
 
 
 def sinks_for(catalog: Catalog, tell: Tell, *, evacuations: bool) -> dict[str, Sink]:
-    """Return the sinks of all kinds that are followed, that of instances last.
+    """Return the sinks of all followed kinds, with that of instances last.
 
     Args:
-        catalog: What this instance believes.
+        catalog: The local state of this instance.
         tell: Sends a frame to the peers.
         evacuations: Whether operators may evacuate failure domains.
     """
--- a/packages/limpethollow-node/src/limpethollow_node/platform/store.py
+++ b/packages/limpethollow-node/src/limpethollow_node/platform/store.py
@@ -15,15 +15,15 @@
 
 T = TypeVar("T")
 
-# The store answers in 4 ms; when slow, 60 times later. Longer silence counts as no answer.
+# The store answers in 4 ms; a slow one takes 60 times as long. A longer wait counts as no answer.
 _TIMEOUT = 1.0
-# What a watch may be late by: a store that is slow answers it late too.
+# Additional timeout of a watch, because a slow store also answers watches late.
 _WATCH_SLACK = 1.5
-# Watches and other calls that this process may have under way at once.
+# Maximum number of concurrent calls, including watches.
 _CONNECTIONS = 6
 _JSON = (b"Content-Type", b"application/json")
-# Counts how often the store came back from an older copy of what it held.
-_ERA = b"store-era"
+# Header with the store's era: how often the store was restored from an older copy.
+_ERA_HEADER = b"store-era"
 
 
 class HistoryGone(LimpethollowError):
@@ -34,21 +34,21 @@
 
 
 class Listing(msgspec.Struct, frozen=True):
-    """All objects of a kind at one revision; its era is 0 where the store didn't say."""
+    """All objects of a kind at one revision, whose era is 0 if the store sent none."""
 
     objects: list[StoredObject]
     revision: Revision
 
 
 class Change(msgspec.Struct, frozen=True):
-    """One change of an object; where it was deleted, the object as it last was."""
+    """One change of an object; for a deletion, with the object's last state."""
 
     object: StoredObject
     deleted: bool = False
 
 
 class Changes(msgspec.Struct, frozen=True):
-    """The changes after one revision, up to another, whose era is as in `Listing`."""
+    """The changes after one revision up to another, whose era is 0 if the store sent none."""
 
     events: list[Change]
     revision: Revision
@@ -70,8 +70,8 @@
     revision: int = msgspec.field(name="currentRev")
 
 
-class _Answer(msgspec.Struct, frozen=True):
-    """A reply, and the era that it tells; 0 where it tells none."""
+class _ReplyWithEra(msgspec.Struct, frozen=True):
+    """A reply and the era in it; 0 if there is none."""
 
     reply: Reply
     era: int
@@ -80,25 +80,25 @@
 class Store:
     """Reads, watches and writes objects.
 
-    Every method raises `Unavailable` where the store gave no usable answer; a write may then have
+    Every method raises `Unavailable` if the store gave no usable answer; a write may still have
     taken effect, or may do so later.
 
     Args:
         address: The store's address.
         metrics: The process's counters.
-        on_restored: Called when an answer shows that the store came back from an older copy.
+        on_restored: Called when an answer shows that the store was restored from an older copy.
 
     Attributes:
-        era: The highest era that an answer told, 0 where none did; `UNKNOWN_ERA` before the first
+        era: The highest era in any answer, 0 if none had one; `UNKNOWN_ERA` before the first
             answer.
     """
 
-    __slots__ = ("_asker", "_metrics", "_on_restored", "era")
+    __slots__ = ("_client", "_metrics", "_on_restored", "era")
 
     def __init__(
         self, address: str, metrics: Metrics, on_restored: Callable[[], None] = lambda: None
     ) -> None:
-        self._asker = Asker(address, _CONNECTIONS)
+        self._client = Asker(address, _CONNECTIONS)
         self._metrics = metrics
         self._on_restored = on_restored
         self.era = UNKNOWN_ERA
@@ -108,21 +108,21 @@
 
         Args:
             kind: The kind.
-            allow_stale: Whether what it returns may be seconds old; the call then costs a tenth.
+            allow_stale: Whether the result may be seconds old; the call then costs a tenth.
 
-        The pages are read one after the other, so an object may change between two; a watch from
-        the first page's revision then tells it again.
+        The pages are read one after the other, so an object may change between two of them; a
+        watch from the first page's revision reports such a change again.
         """
         stale = "allowStale=1" if allow_stale else ""
         page, era = await self._get("list", f"/objects/{kind}?{stale}".rstrip("?"), _Page)
-        objects, revision = _readable(page.items), Revision(era, page.revision)
+        objects, revision = _decode_each(page.items), Revision(era, page.revision)
         while page.more and objects:
             after = f"after={objects[-1].name}"
             target = f"/objects/{kind}?{'&'.join(filter(None, (after, stale)))}"
             page, era = await self._get("list", target, _Page)
             if era != revision.era:
-                raise Unavailable("The store came back from an older copy between two pages.")
-            objects += _readable(page.items)
+                raise Unavailable("The store was restored from an older copy between two pages.")
+            objects += _decode_each(page.items)
         return Listing(objects, revision)
 
     async def watch(self, kind: str, revision: int, wait: float) -> Changes:
@@ -130,34 +130,34 @@
 
         Args:
             kind: The kind.
-            revision: Revision after which changes count.
-            wait: Seconds to wait; without any change the answer has none.
+            revision: Revision after which changes are reported.
+            wait: Seconds to wait; the answer is empty if nothing has changed by then.
 
         Raises:
-            HistoryGone: The store has forgotten that revision.
+            HistoryGone: The store no longer has the changes since that revision.
         """
         target = f"/objects/{kind}?watch={revision}&waitMs={int(wait * 1000)}"
         found, era = await self._get("watch", target, _Events, _TIMEOUT + _WATCH_SLACK + wait)
         changes = [
             Change(stored, event.deleted)
             for event in found.events
-            for stored in _readable([event.object])
+            for stored in _decode_each([event.object])
         ]
         return Changes(changes, Revision(era, found.revision))
 
-    async def check(self, kind: str, name: str, patience: float) -> None:
-        """Ask for an object in the cheapest way, only to learn whether the store answers.
+    async def check(self, kind: str, name: str, timeout: float) -> None:
+        """Read an object in the cheapest way, only to find out whether the store answers.
 
-        What it returns may be seconds old, and the call costs a tenth of another.
+        The store may answer from stale data, so the call costs a tenth of a normal one.
 
         Args:
             kind: The object's kind.
             name: The object's name; it need not exist.
-            patience: Seconds after which the store counts as away.
+            timeout: Seconds after which the store counts as unavailable.
         """
         target = f"/objects/{kind}/{name}?allowStale=1"
         try:
-            await self._ask("check", b"GET", target, patience)
+            await self._request("check", b"GET", target, timeout)
         except NotFound:
             return
 
@@ -165,16 +165,16 @@
         """Create an object.
 
         Raises:
-            Conflict: It exists.
+            Conflict: The object exists already.
         """
         body = {"meta": {"name": name}, "spec": spec}
         return await self._write("create", b"POST", f"/objects/{kind}", body)
 
     async def replace(self, kind: str, name: str, spec: Any) -> StoredObject:
-        """Replace what an object holds, whatever it was.
+        """Replace the `spec` of an object unconditionally.
 
         Raises:
-            NotFound: There is none of this name.
+            NotFound: No object has this name.
         """
         body = {"meta": {"name": name, "finalizers": []}, "spec": spec}
         return await self._write("replace", b"PUT", f"/objects/{kind}/{name}", body)
@@ -183,32 +183,32 @@
         """Remove an object.
 
         Raises:
-            NotFound: There is none of this name.
+            NotFound: No object has this name.
         """
-        await self._ask("delete", b"DELETE", f"/objects/{kind}/{name}", _TIMEOUT)
+        await self._request("delete", b"DELETE", f"/objects/{kind}/{name}", _TIMEOUT)
 
     def close(self) -> None:
         """Close the connections."""
-        self._asker.close()
+        self._client.close()
 
     async def _get(
         self, call: str, target: str, kind: type[T], timeout: float = _TIMEOUT
     ) -> tuple[T, int]:
-        """Return what the store answered, and the era that it told."""
-        answer = await self._ask(call, b"GET", target, timeout)
+        """Return the decoded answer and its era."""
+        answer = await self._request(call, b"GET", target, timeout)
         return _decode(answer.reply, kind), answer.era
 
     async def _write(self, call: str, method: bytes, target: str, body: Any) -> StoredObject:
         data = msgspec.json.encode(body)
-        answer = await self._ask(call, method, target, _TIMEOUT, data)
+        answer = await self._request(call, method, target, _TIMEOUT, data)
         return _decode(answer.reply, StoredObject)
 
-    async def _ask(
+    async def _request(
         self, call: str, method: bytes, target: str, timeout: float, body: bytes = b""
-    ) -> _Answer:
+    ) -> _ReplyWithEra:
         self._metrics.count("platform_calls", call)
         try:
-            reply = await self._asker.ask(
+            reply = await self._client.ask(
                 method,
                 target.encode(),
                 timeout=timeout,
@@ -217,18 +217,18 @@
             )
         except OSError as error:
             self._metrics.count("platform_failures", call)
-            raise Unavailable(f"The store gave no answer to a {call} ({error!r}).") from None
+            raise Unavailable(f"The store did not answer a {call} call ({error!r}).") from None
         era = self._note_era(call, reply)
         _check_status(call, reply)
-        return _Answer(reply, era)
+        return _ReplyWithEra(reply, era)
 
     def _note_era(self, call: str, reply: Reply) -> int:
-        """Return the era of an answer, 0 where it tells none that can be read.
+        """Record and return the era of an answer; 0 if it has no valid one.
 
         Raises:
-            Unavailable: The answer is from before the store came back.
+            Unavailable: The answer has an older era than a previous one.
         """
-        value = reply.header(_ERA)
+        value = reply.header(_ERA_HEADER)
         if value is None or not value.isdigit():
             if value is not None or self.era > 0:
                 events.ERA_UNREADABLE.log(call=call, value=repr(value), known=self.era)
@@ -237,10 +237,10 @@
         era = int(value)
         if era < self.era:
             events.ERA_UNREADABLE.log(call=call, value=repr(value), known=self.era)
-            raise Unavailable(f"The answer to a {call} is of the store's era {era}, an older one.")
-        was, self.era = self.era, era
-        if era > was > UNKNOWN_ERA:
-            events.STORE_RESTORED.log(era=era, was=was)
+            raise Unavailable(f"The answer to a {call} call has the outdated era {era}.")
+        previous, self.era = self.era, era
+        if era > previous > UNKNOWN_ERA:
+            events.STORE_RESTORED.log(era=era, was=previous)
             self._on_restored()
         return era
 
@@ -251,21 +251,21 @@
     if reply.status == 404:
         raise NotFound("The store has no such object.")
     if reply.status == 409:
-        raise Conflict("The object was created or changed by somebody else.")
+        raise Conflict("The object was created or changed by another client.")
     if reply.status == 410:
-        raise HistoryGone("The store has forgotten this revision.")
-    raise Unavailable(f"The store answered a {call} with status {reply.status}.")
+        raise HistoryGone("The store no longer has the changes since this revision.")
+    raise Unavailable(f"The store answered a {call} call with status {reply.status}.")
 
 
 def _decode(reply: Reply, kind: type[T]) -> T:
     try:
         return msgspec.json.decode(reply.body, type=kind)
     except msgspec.MsgspecError as error:
-        raise Unavailable(f"The store's answer can't be read: {error}.") from None
+        raise Unavailable(f"Invalid answer from the store: {error}.") from None
 
 
-def _readable(raws: list[msgspec.Raw]) -> list[StoredObject]:
-    """Decode objects one by one: one that can't be read must not hide the others."""
+def _decode_each(raws: list[msgspec.Raw]) -> list[StoredObject]:
+    """Decode objects one by one, so that an invalid one doesn't hide the others."""
     objects = []
     for raw in raws:
         try:
--- a/tests/unit/platform/test_eras.py
+++ b/tests/unit/platform/test_eras.py
@@ -32,7 +32,7 @@
 
     async def lists() -> list:
         store = Store("10.0.0.1:80", Metrics(), lambda: told.append(store.era))
-        store._asker = ScriptedAsker(*replies)
+        store._client = ScriptedAsker(*replies)
         found = []
         for _ in replies:
             try:
@@ -82,7 +82,7 @@
 
         async def lists() -> None:
             store = Store("10.0.0.1:80", Metrics())
-            store._asker = ScriptedAsker((200, b"1", FIRST_PAGE), (200, b"2", LIST))
+            store._client = ScriptedAsker((200, b"1", FIRST_PAGE), (200, b"2", LIST))
             await store.list("servers")
 
         with pytest.raises(Unavailable, match="between two pages"):
--- a/tests/unit/platform/test_feeds.py
+++ b/tests/unit/platform/test_feeds.py
@@ -48,7 +48,7 @@
     """
 
     def test_it_is_asked_for_again_when_the_store_is_back(self):
-        assert asyncio.run(self.play(feeds._LIST_SECONDS + 0.05)) == (2, READ)
+        assert asyncio.run(self.play(feeds._LIST_LOST_SECONDS + 0.05)) == (2, READ)
 
     def test_a_list_that_was_just_asked_for_is_waited_for(self):
         """A store that is merely slow would otherwise never get to answer one."""
@@ -141,7 +141,7 @@
         task = asyncio.create_task(feed.run())
         await asyncio.sleep(0.02)
         found.append(feed.connected)
-        await asyncio.sleep(feeds._TAKEN_SECONDS + 0.05)
+        await asyncio.sleep(feeds._WATCH_ACCEPTED_SECONDS + 0.05)
         found.append(feed.connected)
         task.cancel()
         return found
--- a/tests/unit/platform/test_filechecks.py
+++ b/tests/unit/platform/test_filechecks.py
@@ -32,7 +32,7 @@
                 'serves = ["directory"]',
                 ["Two roles on `front`"],
             ),
-            ("build = ", ["no TOML"]),
+            ("build = ", ["not valid TOML"]),
         ],
     )
     def test_a_mistake_is_named(self, tmp_path, text, words):
