--- a/packages/limpethollow-node/src/limpethollow_node/connection/peer_listeners.py
+++ b/packages/limpethollow-node/src/limpethollow_node/connection/peer_listeners.py
@@ -21,7 +21,7 @@
     Overloaded,
     Unauthorized,
 )
-from limpethollow_wire.keys import bearer_key, keys_equal
+from limpethollow_wire.keys import keys_equal, parse_bearer_key
 from limpethollow_wire.limits import MAX_FRAME_BYTES
 from limpethollow_wire.peers import Frame, Hello
 
@@ -106,7 +106,7 @@
 
     def _check_key(self, connection: ServerConnection, request: Request) -> Response | None:
         try:
-            given = bearer_key(request.headers.get("Authorization"))
+            given = parse_bearer_key(request.headers.get("Authorization"))
         except Unauthorized:
             given = ""
         if keys_equal(given, self._key):
--- a/packages/limpethollow-node/src/limpethollow_node/process/configs.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/configs.py
@@ -19,7 +19,7 @@
     Unavailable,
     UnknownService,
 )
-from limpethollow_wire.peers import Digest, SyncState
+from limpethollow_wire.peers import SyncState, VersionDigest
 from limpethollow_wire.services import ServiceRecord, ServiceSpec
 
 SERVICE_KIND = "service"
@@ -187,18 +187,18 @@
                 relay=relay,
             )
 
-    def digest_for(self, theirs: dict[int, int]) -> Digest:
+    def digest_for(self, theirs: dict[int, int]) -> VersionDigest:
         """Return the local versions in all buckets whose hash differs from the peer's."""
         with self._lock:
             buckets = self._configuration.differing_buckets(theirs)
-            return Digest(self._configuration.versions_in(buckets), buckets)
+            return VersionDigest(self._configuration.versions_in(buckets), buckets)
 
     def lacking(self, versions: dict[str, int]) -> tuple[str, ...]:
         """Return the names of services for which a peer's digest has a newer version."""
         with self._lock:
             return self._configuration.lacking(versions)
 
-    def newer_than(self, digest: Digest) -> tuple[str, ...]:
+    def newer_than(self, digest: VersionDigest) -> tuple[str, ...]:
         """Return the names of services for which a peer's digest has an older version or none."""
         with self._lock:
             return self._configuration.newer_than(digest.versions, digest.buckets)
--- a/packages/limpethollow-node/src/limpethollow_node/process/members.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/members.py
@@ -12,7 +12,7 @@
 from limpethollow_policy.process.relays import PlatformWatchRole, relays_of
 from limpethollow_wire.exceptions import LimpethollowError
 from limpethollow_wire.instances import InstanceInfo, SearcherListing
-from limpethollow_wire.peers import Hello, ListChange
+from limpethollow_wire.peers import Hello, InstanceListUpdate
 
 _INITIAL_BACKOFF_SECONDS = 0.1
 _MAX_BACKOFF_SECONDS = 5.0
@@ -79,7 +79,7 @@
         """Call a function with the searchers of each list that this instance reads itself."""
         self._searcher_listeners.append(listener)
 
-    def listed(self, change: ListChange) -> None:
+    def listed(self, change: InstanceListUpdate) -> None:
         """Apply a full list or a change, received from the platform or from a peer."""
         with self._lock:
             applied = self._view.listed(change, time.monotonic())
@@ -92,7 +92,7 @@
         for listener in self._listeners:
             listener()
 
-    def changes_since(self, revision: int) -> ListChange:
+    def changes_since(self, revision: int) -> InstanceListUpdate:
         """Return the changes since a revision, or the whole list if they are no longer kept."""
         with self._lock:
             return self._view.changes_since(revision)
@@ -205,6 +205,6 @@
                 self._stopped.wait(self._backoff.failed())
                 continue
             self._backoff.succeeded()
-            self.listed(ListChange(WHOLE_LIST, response.revision, response.instances))
+            self.listed(InstanceListUpdate(WHOLE_LIST, response.revision, response.instances))
             for listener in self._searcher_listeners:
                 listener(response.searchers)
--- a/packages/limpethollow-node/src/limpethollow_node/process/node.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/node.py
@@ -28,7 +28,7 @@
 from limpethollow_node.version.planners import Planner
 from limpethollow_policy.process.shutdowns import InstanceState, OpenWork
 from limpethollow_wire.instances import InstanceStatus
-from limpethollow_wire.peers import Acknowledgement, Hello, Leaving, RouteHeld
+from limpethollow_wire.peers import Acknowledgement, Hello, Leaving, RouteHoldTime
 from limpethollow_wire.settings import NodeSettings
 
 _OPERATOR_THREADS = 4
@@ -235,7 +235,7 @@
     def _notify_peer(self, peer_id: str) -> float:
         message = Leaving(self._id, self._incarnation)
         reply = self._links.request(
-            peer_id, "instance.leaving", message, RouteHeld, _PEER_TIMEOUT_SECONDS
+            peer_id, "instance.leaving", message, RouteHoldTime, _PEER_TIMEOUT_SECONDS
         )
         return reply.seconds
 
--- a/packages/limpethollow-node/src/limpethollow_node/process/relays.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/relays.py
@@ -18,16 +18,16 @@
 from limpethollow_wire.exceptions import LimpethollowError
 from limpethollow_wire.peers import (
     Acknowledgement,
-    Buckets,
-    Digest,
+    BucketHashes,
     Hello,
-    ListChange,
-    ListQuestion,
-    Names,
-    Records,
+    InstanceListRequest,
+    InstanceListUpdate,
+    ServiceNames,
+    ServiceRecords,
     SpreadReply,
     SpreadRequest,
     SyncState,
+    VersionDigest,
 )
 from limpethollow_wire.services import ServiceRecord
 
@@ -105,9 +105,9 @@
         self._members.asked(peer_state.instance, peer_state.relay)
         return self._configs.state()
 
-    def offered(self, digest: Digest) -> Names:
+    def offered(self, digest: VersionDigest) -> ServiceNames:
         """Handle a peer's offer; return the names of offered records newer than the local ones."""
-        return Names(self._configs.lacking(digest.versions))
+        return ServiceNames(self._configs.lacking(digest.versions))
 
     def spread_here(self, record: ServiceRecord) -> SpreadReply:
         """As a relay, send a record to this failure domain; return the instances that have it."""
@@ -240,18 +240,20 @@
         if peer_state.loaded:
             self._configs.confirmed(started_at, peer_state.revision)
         if peer_state.members > own_state.members:
-            query = ListQuestion(own_state.members)
-            self._members.listed(self._request(peer, "members.pull", query, ListChange))
+            query = InstanceListRequest(own_state.members)
+            self._members.listed(self._request(peer, "members.pull", query, InstanceListUpdate))
         elif peer_state.members < own_state.members:
             change = self._members.changes_since(peer_state.members)
             self._request(peer, "members.push", change, Acknowledgement)
 
     def _exchange_missing_records(self, peer: str) -> None:
         self._metrics.count("comparisons", "differ")
-        buckets = Buckets(self._configs.bucket_hashes)
-        digest = self._request(peer, "sync.digest", buckets, Digest)
+        buckets = BucketHashes(self._configs.bucket_hashes)
+        digest = self._request(peer, "sync.digest", buckets, VersionDigest)
         for names in _split_into_frames(self._configs.lacking(digest.versions)):
-            self._configs.merge(self._request(peer, "sync.fetch", Names(names), Records).records)
+            self._configs.merge(
+                self._request(peer, "sync.fetch", ServiceNames(names), ServiceRecords).records
+            )
         for names in _split_into_frames(self._configs.newer_than(digest)):
             self._push_records(peer, self._configs.named(names))
 
@@ -263,14 +265,14 @@
 
     def _offer_records(self, peer: str, records: tuple[ServiceRecord, ...]) -> bool:
         """Offer records to a peer and send those it asks for, as records may be large."""
-        offer = Digest({record.name: record.version for record in records})
-        missing = self._request(peer, "sync.offer", offer, Names)
+        offer = VersionDigest({record.name: record.version for record in records})
+        missing = self._request(peer, "sync.offer", offer, ServiceNames)
         for names in _split_into_frames(missing.names):
             self._push_records(peer, [record for record in records if record.name in names])
         return True
 
     def _push_records(self, peer: str, records: Iterable[ServiceRecord]) -> None:
-        self._request(peer, "config.push", Records(tuple(records)), Acknowledgement)
+        self._request(peer, "config.push", ServiceRecords(tuple(records)), Acknowledgement)
 
     def _request(self, peer: str, kind: str, body: Any, reply: type) -> Any:
         return self._links.request(peer, kind, body, reply, _PEER_TIMEOUT_SECONDS)
@@ -280,8 +282,8 @@
         link = None
         try:
             link = PeerLink(address, self._key, self._hello(), self._members.greeted)
-            body = link.request("members.pull", ListQuestion(-1), _PEER_TIMEOUT_SECONDS)
-            self._members.listed(convert(body, ListChange))
+            body = link.request("members.pull", InstanceListRequest(-1), _PEER_TIMEOUT_SECONDS)
+            self._members.listed(convert(body, InstanceListUpdate))
         except LimpethollowError as error:
             events.SEED_FAILED.log(address=address, error=str(error))
         finally:
--- a/packages/limpethollow-node/src/limpethollow_node/request/bookings.py
+++ b/packages/limpethollow-node/src/limpethollow_node/request/bookings.py
@@ -24,7 +24,7 @@
     BookingRequest,
     BookingToken,
     ForwardedBooking,
-    OutcomeQuestion,
+    OutcomeRequest,
     token_prefix,
 )
 from limpethollow_wire.exceptions import BadRequest, Overloaded, TokenReused
@@ -159,7 +159,7 @@
             return driver.outcome
         return self._without_dispatch(verdict, token, forwarded.service, deadline)
 
-    def look_up(self, question: OutcomeQuestion) -> BookingOutcome:
+    def look_up(self, question: OutcomeRequest) -> BookingOutcome:
         """Say what became of a booking: by its executor, or by the searchers where it is gone.
 
         Raises:
@@ -175,7 +175,7 @@
         except (PeerUnreachable, PeerLost):
             return self._resolve(question.service, token)
 
-    def look_up_here(self, question: OutcomeQuestion) -> BookingOutcome:
+    def look_up_here(self, question: OutcomeRequest) -> BookingOutcome:
         """Say what this instance knows of a token that names it."""
         token = BookingToken.parse(question.token)
         now = time.monotonic()
@@ -201,7 +201,7 @@
             self._metrics.count("booking_forward_failures", reason)
             events.BOOKING_UNKNOWN.log(token=str(token), reason=reason)
         if time.monotonic() < deadline:
-            question = OutcomeQuestion(forwarded.service, forwarded.firm, str(token))
+            question = OutcomeRequest(forwarded.service, forwarded.firm, str(token))
             return self.look_up(question)
         return self._resolve(forwarded.service, token)
 
--- a/packages/limpethollow-node/src/limpethollow_node/request/callers.py
+++ b/packages/limpethollow-node/src/limpethollow_node/request/callers.py
@@ -11,10 +11,10 @@
 from limpethollow_node.request.bookings import BookingExecutor
 from limpethollow_node.request.searches import Coordinator
 from limpethollow_policy.process.owners import group_key, owner_order
-from limpethollow_wire.bookings import BookingRequest, OutcomeQuestion
+from limpethollow_wire.bookings import BookingRequest, OutcomeRequest
 from limpethollow_wire.exceptions import LimpethollowError, Unauthorized
 from limpethollow_wire.instances import InstanceInfo, Route, RouteInstance
-from limpethollow_wire.keys import bearer_key, key_digest, keys_equal
+from limpethollow_wire.keys import key_digest, keys_equal, parse_bearer_key
 from limpethollow_wire.searches import SearchRequest
 from limpethollow_wire.services import ServiceSpec
 
@@ -80,7 +80,7 @@
 def look_up(context: CallerContext, request: HttpRequest) -> HttpReply:
     """Say what became of a booking."""
     spec, firm = _admit(context, request, new_work=False)
-    question = OutcomeQuestion(spec.name, firm, request.names["token"])
+    question = OutcomeRequest(spec.name, firm, request.names["token"])
     return HttpReply(context.bookings.look_up(question))
 
 
@@ -92,7 +92,7 @@
     record = find(request.names["service"])
     spec = record.spec
     assert spec is not None
-    digest = key_digest(bearer_key(request.authorization))
+    digest = key_digest(parse_bearer_key(request.authorization))
     firms = [c.firm for c in spec.callers if keys_equal(c.key_sha256, digest)]
     if not firms:
         raise Unauthorized(f"The key is not one of service '{spec.name}'.")
--- a/packages/limpethollow-node/src/limpethollow_node/request/configs.py
+++ b/packages/limpethollow-node/src/limpethollow_node/request/configs.py
@@ -5,19 +5,19 @@
 from limpethollow_node.request.peers import PeerContext, peer_request
 from limpethollow_wire.peers import (
     Acknowledgement,
-    Buckets,
-    Digest,
-    ListChange,
-    ListQuestion,
-    Names,
-    Records,
+    BucketHashes,
+    InstanceListRequest,
+    InstanceListUpdate,
+    ServiceNames,
+    ServiceRecords,
     SpreadRequest,
     SyncState,
+    VersionDigest,
 )
 
 
-@peer_request("config.push", Records)
-def _push(context: PeerContext, body: Records) -> Any:
+@peer_request("config.push", ServiceRecords)
+def _push(context: PeerContext, body: ServiceRecords) -> Any:
     return Acknowledgement(len(context.configs.merge(body.records)))
 
 
@@ -26,28 +26,28 @@
     return context.sync.compared(body)
 
 
-@peer_request("sync.digest", Buckets)
-def _digest(context: PeerContext, body: Buckets) -> Any:
+@peer_request("sync.digest", BucketHashes)
+def _digest(context: PeerContext, body: BucketHashes) -> Any:
     return context.configs.digest_for(body.hashes)
 
 
-@peer_request("sync.fetch", Names)
-def _fetch(context: PeerContext, body: Names) -> Any:
-    return Records(context.configs.named(body.names))
+@peer_request("sync.fetch", ServiceNames)
+def _fetch(context: PeerContext, body: ServiceNames) -> Any:
+    return ServiceRecords(context.configs.named(body.names))
 
 
-@peer_request("sync.offer", Digest)
-def _offer(context: PeerContext, body: Digest) -> Any:
+@peer_request("sync.offer", VersionDigest)
+def _offer(context: PeerContext, body: VersionDigest) -> Any:
     return context.sync.offered(body)
 
 
-@peer_request("members.pull", ListQuestion)
-def _pull_members(context: PeerContext, body: ListQuestion) -> Any:
+@peer_request("members.pull", InstanceListRequest)
+def _pull_members(context: PeerContext, body: InstanceListRequest) -> Any:
     return context.members.changes_since(body.revision)
 
 
-@peer_request("members.push", ListChange)
-def _push_members(context: PeerContext, body: ListChange) -> Any:
+@peer_request("members.push", InstanceListUpdate)
+def _push_members(context: PeerContext, body: InstanceListUpdate) -> Any:
     context.members.listed(body)
     return Acknowledgement()
 
--- a/packages/limpethollow-node/src/limpethollow_node/request/operators.py
+++ b/packages/limpethollow-node/src/limpethollow_node/request/operators.py
@@ -10,7 +10,7 @@
 from limpethollow_node.version.planners import Planner
 from limpethollow_wire.exceptions import Unauthorized
 from limpethollow_wire.instances import InstanceStatus
-from limpethollow_wire.keys import bearer_key, keys_equal
+from limpethollow_wire.keys import keys_equal, parse_bearer_key
 from limpethollow_wire.plans import ConfirmRequest, Intent
 
 ROUTES = Routes()
@@ -34,7 +34,7 @@
     def register(handler: Handler) -> Handler:
         @ROUTES.add(method, pattern)
         def guarded(context: OperatorContext, request: HttpRequest) -> HttpReply:
-            if not keys_equal(bearer_key(request.authorization), context.key):
+            if not keys_equal(parse_bearer_key(request.authorization), context.key):
                 raise Unauthorized("The operators' key is wrong.")
             return handler(context, request)
 
--- a/packages/limpethollow-node/src/limpethollow_node/request/owners.py
+++ b/packages/limpethollow-node/src/limpethollow_node/request/owners.py
@@ -19,19 +19,19 @@
 from limpethollow_policy.request.forwards import ForwardPlan
 from limpethollow_policy.request.hedges import RatioBudget
 from limpethollow_wire.exceptions import LimpethollowError, Unavailable, VersionGone
-from limpethollow_wire.peers import Acknowledgement, Records
+from limpethollow_wire.peers import Acknowledgement, ServiceRecords
 from limpethollow_wire.searches import (
-    GroupAbandon,
     GroupAnswer,
+    GroupCancel,
     GroupSearch,
-    GroupVersions,
-    RecordQuestion,
+    GroupVersionsRequest,
+    RecordRequest,
     ServableVersions,
 )
 from limpethollow_wire.services import ServiceRecord
 
 T = TypeVar("T")
-Ask = GroupSearch | GroupVersions
+Ask = GroupSearch | GroupVersionsRequest
 
 _WORKERS = 128
 _CONTROL_TIMEOUT = 0.5
@@ -98,7 +98,7 @@
         return self._ask(record, _SEARCH, body, GroupAnswer, answer_at, deadline)
 
     def versions(
-        self, record: ServiceRecord, body: GroupVersions, answer_at: float, deadline: float
+        self, record: ServiceRecord, body: GroupVersionsRequest, answer_at: float, deadline: float
     ) -> ServableVersions:
         """Ask which index versions one group can serve."""
         return self._ask(record, _VERSIONS, body, ServableVersions, answer_at, deadline)
@@ -214,18 +214,20 @@
         """Bring the older configuration of two instances up to date, for the search's next try."""
         try:
             if theirs > record.version:
-                question = RecordQuestion(record.name)
-                newer = self._links.request(owner, _RECORD, question, Records, _CONTROL_TIMEOUT)
+                question = RecordRequest(record.name)
+                newer = self._links.request(
+                    owner, _RECORD, question, ServiceRecords, _CONTROL_TIMEOUT
+                )
                 self._configs.merge(newer.records)
             else:
-                records = Records((record,))
+                records = ServiceRecords((record,))
                 self._links.request(owner, _PUSH, records, Acknowledgement, _CONTROL_TIMEOUT)
         except LimpethollowError as error:
             self._metrics.count("search_config_exchanges_failed", error.code)
 
     def _abandon(self, owner: str, request_id: str) -> None:
         try:
-            body = GroupAbandon(request_id)
+            body = GroupCancel(request_id)
             self._links.request(owner, _ABANDON, body, Acknowledgement, _CONTROL_TIMEOUT)
         except LimpethollowError as error:
             events.REQUEST_REFUSED.log(code=error.code, path=_ABANDON)
--- a/packages/limpethollow-node/src/limpethollow_node/request/parts.py
+++ b/packages/limpethollow-node/src/limpethollow_node/request/parts.py
@@ -14,9 +14,14 @@
 from limpethollow_policy.request.events import Search
 from limpethollow_policy.version.groups import GroupCache
 from limpethollow_wire.exceptions import DeadlinePassed, LimpethollowError, Unavailable, VersionGone
-from limpethollow_wire.searches import GroupAnswer, GroupSearch, GroupVersions, ServableVersions
+from limpethollow_wire.searches import (
+    GroupAnswer,
+    GroupSearch,
+    GroupVersionsRequest,
+    ServableVersions,
+)
 from limpethollow_wire.services import ServiceRecord
-from limpethollow_wire.versions import version_text
+from limpethollow_wire.versions import format_version
 
 GRACE_SECONDS = 0.25
 RETRY_AFTER = 0.2
@@ -64,7 +69,7 @@
         )
         return self._run(record, search, local)
 
-    def versions(self, question: GroupVersions) -> ServableVersions:
+    def versions(self, question: GroupVersionsRequest) -> ServableVersions:
         """Say which index versions a group can serve."""
         record = self._fitting_record(question)
         require_time(question.budget)
@@ -97,7 +102,7 @@
         return self._configs.record(service)
 
     def _run(
-        self, record: ServiceRecord, asked: GroupSearch | GroupVersions, search: Search
+        self, record: ServiceRecord, asked: GroupSearch | GroupVersionsRequest, search: Search
     ) -> Any:
         group = self._groups.get(record, asked.group)
         running = _Running(group, search.id, group.search(search))
@@ -132,7 +137,7 @@
             if not same:
                 del self._running[request_id]
 
-    def _fitting_record(self, asked: GroupSearch | GroupVersions) -> ServiceRecord:
+    def _fitting_record(self, asked: GroupSearch | GroupVersionsRequest) -> ServiceRecord:
         """Return the record in force here if the coordinator's cut of the service fits it.
 
         Versions that cut the shards alike serve each other's searches, so a change of, say, an
@@ -147,8 +152,8 @@
                 return record
         version = record.version if record else 0
         raise VersionGone(
-            f"The owner has version {version_text(version)} of '{asked.service}', not "
-            f"{version_text(asked.spec_version)}.",
+            f"The owner has version {format_version(version)} of '{asked.service}', not "
+            f"{format_version(asked.spec_version)}.",
             details={"spec_version": version},
         )
 
--- a/packages/limpethollow-node/src/limpethollow_node/request/peers.py
+++ b/packages/limpethollow-node/src/limpethollow_node/request/peers.py
@@ -11,7 +11,7 @@
 from limpethollow_node.process.relays import PeerSync
 from limpethollow_node.request.bookings import BookingExecutor
 from limpethollow_node.request.searches import Coordinator
-from limpethollow_wire.bookings import ForwardedBooking, OutcomeQuestion
+from limpethollow_wire.bookings import ForwardedBooking, OutcomeRequest
 from limpethollow_wire.codecs import convert
 from limpethollow_wire.exceptions import BadRequest
 from limpethollow_wire.instances import InstanceStatus
@@ -20,14 +20,14 @@
     DrainNotice,
     Hello,
     Leaving,
-    Records,
-    RouteHeld,
+    RouteHoldTime,
+    ServiceRecords,
 )
 from limpethollow_wire.searches import (
-    GroupAbandon,
+    GroupCancel,
     GroupSearch,
-    GroupVersions,
-    RecordQuestion,
+    GroupVersionsRequest,
+    RecordRequest,
 )
 
 PeerHandler = Callable[["PeerContext", Any], Any]
@@ -80,22 +80,22 @@
     return context.coordinator.parts.search(body)
 
 
-@peer_request("group.versions", GroupVersions)
-def _versions(context: PeerContext, body: GroupVersions) -> Any:
+@peer_request("group.versions", GroupVersionsRequest)
+def _versions(context: PeerContext, body: GroupVersionsRequest) -> Any:
     context.configs.check_current()
     return context.coordinator.parts.versions(body)
 
 
-@peer_request("group.abandon", GroupAbandon)
-def _abandon(context: PeerContext, body: GroupAbandon) -> Any:
+@peer_request("group.abandon", GroupCancel)
+def _abandon(context: PeerContext, body: GroupCancel) -> Any:
     context.coordinator.parts.abandon(body.request_id)
     return Acknowledgement()
 
 
-@peer_request("group.record", RecordQuestion)
-def _record(context: PeerContext, body: RecordQuestion) -> Any:
+@peer_request("group.record", RecordRequest)
+def _record(context: PeerContext, body: RecordRequest) -> Any:
     record = context.coordinator.parts.record(body.service)
-    return Records(() if record is None else (record,))
+    return ServiceRecords(() if record is None else (record,))
 
 
 @peer_request("booking.run", ForwardedBooking)
@@ -104,8 +104,8 @@
     return context.bookings.run_forwarded(body)
 
 
-@peer_request("booking.look_up", OutcomeQuestion)
-def _look_up(context: PeerContext, body: OutcomeQuestion) -> Any:
+@peer_request("booking.look_up", OutcomeRequest)
+def _look_up(context: PeerContext, body: OutcomeRequest) -> Any:
     return context.bookings.look_up_here(body)
 
 
@@ -117,7 +117,7 @@
 
 @peer_request("instance.leaving", Leaving)
 def _leaving(context: PeerContext, body: Leaving) -> Any:
-    return RouteHeld(context.routes.peer_leaves(body.instance, body.incarnation))
+    return RouteHoldTime(context.routes.peer_leaves(body.instance, body.incarnation))
 
 
 @peer_request("searcher.drain", DrainNotice)
--- a/packages/limpethollow-node/src/limpethollow_node/request/searches.py
+++ b/packages/limpethollow-node/src/limpethollow_node/request/searches.py
@@ -30,7 +30,7 @@
 from limpethollow_wire.searches import (
     GroupAnswer,
     GroupSearch,
-    GroupVersions,
+    GroupVersionsRequest,
     SearchAnswer,
     SearchRequest,
     ServableVersions,
@@ -195,7 +195,7 @@
         """Ask every group which index versions it can serve."""
 
         def ask(index: int) -> ServableVersions:
-            body = GroupVersions(
+            body = GroupVersionsRequest(
                 service=scatter.record.name,
                 spec_version=scatter.record.version,
                 group=index,
--- a/packages/limpethollow-node/src/limpethollow_node/version/planners.py
+++ b/packages/limpethollow-node/src/limpethollow_node/version/planners.py
@@ -24,7 +24,7 @@
 from limpethollow_wire.exceptions import BadRequest, Conflict, NotFound, Unavailable
 from limpethollow_wire.plans import Confirmation, Intent, Plan
 from limpethollow_wire.services import ServiceRecord
-from limpethollow_wire.versions import version_text
+from limpethollow_wire.versions import format_version
 
 PLAN_KIND = "plan"
 MAX_WAIT_SECONDS = 60.0
@@ -192,8 +192,8 @@
     def _refuse(self, plan: Plan, version: int) -> None:
         events.PLAN_CONFLICT.log(plan=plan.id, service=plan.service)
         raise Conflict(
-            f"Service '{plan.service}' is at version {version_text(version)}; the plan was made "
-            f"against version {version_text(plan.base_version)}."
+            f"Service '{plan.service}' is at version {format_version(version)}; the plan was made "
+            f"against version {format_version(plan.base_version)}."
         )
 
     def _pause_or_raise(self, attempt: int, backoff: Backoff, error: Unavailable) -> None:
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/members.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/members.py
@@ -5,7 +5,7 @@
 
 from limpethollow_policy.process.shutdowns import LEAVING_STATES
 from limpethollow_wire.instances import InstanceInfo
-from limpethollow_wire.peers import Hello, ListChange
+from limpethollow_wire.peers import Hello, InstanceListUpdate
 
 WHOLE_LIST = -1
 
@@ -79,7 +79,7 @@
         """Whether any other instance is known."""
         return bool(self._unlisted) or bool(self._instances.keys() - {self._own_id})
 
-    def listed(self, change: ListChange, now: float) -> bool:
+    def listed(self, change: InstanceListUpdate, now: float) -> bool:
         """Apply the full list or a change of it, if its revision is higher.
 
         Returns:
@@ -98,13 +98,13 @@
         self._routable = None
         return True
 
-    def changes_since(self, revision: int) -> ListChange:
+    def changes_since(self, revision: int) -> InstanceListUpdate:
         """Return the changes after a revision, or the full list if they are not known."""
         known = [r for r, _ in self._changes]
         if revision == WHOLE_LIST or revision not in known:
-            return ListChange(WHOLE_LIST, self._revision, tuple(self._instances.values()))
+            return InstanceListUpdate(WHOLE_LIST, self._revision, tuple(self._instances.values()))
         changed_ids = {i for r, ids in self._changes if r > revision for i in ids}
-        return ListChange(
+        return InstanceListUpdate(
             base=revision,
             revision=self._revision,
             listed=tuple(self._instances[i] for i in changed_ids if i in self._instances),
--- a/packages/limpethollow-wire/src/limpethollow_wire/bookings.py
+++ b/packages/limpethollow-wire/src/limpethollow_wire/bookings.py
@@ -180,7 +180,7 @@
         return owner_digest(self.service, self.firm)
 
 
-class OutcomeQuestion(msgspec.Struct, frozen=True):
+class OutcomeRequest(msgspec.Struct, frozen=True):
     """Requests a booking's outcome from the instance named by its token."""
 
     service: str
--- a/packages/limpethollow-wire/src/limpethollow_wire/exceptions.py
+++ b/packages/limpethollow-wire/src/limpethollow_wire/exceptions.py
@@ -11,7 +11,7 @@
 _ERRORS_BY_CODE: dict[str, type["LimpethollowError"]] = {}
 
 
-def error_kind(
+def register_error(
     code: str, status: int
 ) -> Callable[[type["LimpethollowError"]], type["LimpethollowError"]]:
     """Register an exception class with its wire code and HTTP status.
@@ -97,171 +97,171 @@
     )
 
 
-@error_kind("internal", 500)
+@register_error("internal", 500)
 class InternalError(LimpethollowError, RuntimeError):
     """An internal error caused by a bug in limpethollow."""
 
 
-@error_kind("bad_request", 400)
+@register_error("bad_request", 400)
 class BadRequest(LimpethollowError, ValueError):
     """The request is invalid; it was not run."""
 
     remedy = "Correct the request as described and send it again."
 
 
-@error_kind("too_large", 413)
+@register_error("too_large", 413)
 class TooLarge(BadRequest):
     """A body, list or frame exceeds its limit; the request was not run."""
 
     remedy = "Send less in one request."
 
 
-@error_kind("headers_too_large", 431)
+@register_error("headers_too_large", 431)
 class HeadersTooLarge(BadRequest):
     """The request line and headers exceed their limit; the request was not run."""
 
     remedy = "Send fewer or shorter headers."
 
 
-@error_kind("bad_framing", 400)
+@register_error("bad_framing", 400)
 class BadFraming(BadRequest):
     """The length of the body can't be determined; the request was not run."""
 
     remedy = "Send the body with a decimal Content-Length."
 
 
-@error_kind("slow_sender", 408)
+@register_error("slow_sender", 408)
 class SlowSender(BadRequest, TimeoutError):
     """The request arrived too slowly; it was not run."""
 
     remedy = "Send the whole request within a few seconds."
 
 
-@error_kind("unauthorized", 401)
+@register_error("unauthorized", 401)
 class Unauthorized(LimpethollowError, PermissionError):
     """The key is missing or wrong; the request was not run."""
 
     remedy = "Send a key that is valid for this listener as 'Authorization: Bearer <key>'."
 
 
-@error_kind("unknown_service", 404)
+@register_error("unknown_service", 404)
 class UnknownService(LimpethollowError, LookupError):
     """This instance has no active configuration for a service of this name."""
 
     remedy = "Check the name with 'limpethollow services'."
 
 
-@error_kind("not_found", 404)
+@register_error("not_found", 404)
 class NotFound(LimpethollowError, LookupError):
     """The path, plan or token is unknown to this instance."""
 
     remedy = "Check the name and the path."
 
 
-@error_kind("method_not_allowed", 405)
+@register_error("method_not_allowed", 405)
 class MethodNotAllowed(BadRequest):
     """The path does not support this method; the request was not run."""
 
 
-@error_kind("deadline_passed", 408)
+@register_error("deadline_passed", 408)
 class DeadlinePassed(LimpethollowError, TimeoutError):
     """The deadline passed before the request could be run; it was not run."""
 
     remedy = "Send the request again with a longer deadline."
 
 
-@error_kind("overloaded", 429)
+@register_error("overloaded", 429)
 class Overloaded(LimpethollowError, ConnectionError):
     """The service has no capacity for the request at present; it was not run."""
 
     remedy = "Retry after retry_after seconds."
 
 
-@error_kind("instance_busy", 503)
+@register_error("instance_busy", 503)
 class InstanceBusy(LimpethollowError, ConnectionError):
     """This instance has no capacity; the request was not run, and others may accept it."""
 
     remedy = "Send it to another instance, or retry after retry_after seconds."
 
 
-@error_kind("unavailable", 503)
+@register_error("unavailable", 503)
 class Unavailable(LimpethollowError, ConnectionError):
     """No server for the request can be reached; it was not run."""
 
     remedy = "Retry after retry_after seconds."
 
 
-@error_kind("quarantined", 503)
+@register_error("quarantined", 503)
 class Quarantined(Unavailable):
     """Earlier attempts of the same request crashed searchers; this one was not run."""
 
     remedy = "Change the request, or ask the operator to release it after fixing the searchers."
 
 
-@error_kind("coverage_too_low", 503)
+@register_error("coverage_too_low", 503)
 class CoverageTooLow(LimpethollowError, TimeoutError):
     """Fewer shards answered in time than the service's coverage floor requires."""
 
     remedy = "Retry after retry_after seconds, or use a longer deadline."
 
 
-@error_kind("no_usable_reply", 502)
+@register_error("no_usable_reply", 502)
 class NoUsableReply(LimpethollowError, ConnectionError):
     """Searchers were called but gave no usable reply; the request may have run."""
 
     remedy = "Repeat an idempotent request after retry_after seconds; look up any other first."
 
 
-@error_kind("answer_late", 504)
+@register_error("answer_late", 504)
 class AnswerLate(LimpethollowError, TimeoutError):
     """The request was not answered in time; it may have run."""
 
     remedy = "Repeat an idempotent request; look up any other first."
 
 
-@error_kind("no_route", 404)
+@register_error("no_route", 404)
 class NoRoute(NotFound):
     """No route of the active configuration matches this host and path."""
 
     remedy = "Check the host and path with the operator."
 
 
-@error_kind("version_gone", 409)
+@register_error("version_gone", 409)
 class VersionGone(LimpethollowError, LookupError):
     """No usable set of replicas serves the requested snapshot, either no longer or not yet."""
 
     remedy = "Send the search again without a pinned version."
 
 
-@error_kind("not_run", 409)
+@register_error("not_run", 409)
 class NotRun(LimpethollowError):
     """The booking provably was not run and never will be under its token."""
 
     remedy = "Book again with a new token."
 
 
-@error_kind("token_reused", 409)
+@register_error("token_reused", 409)
 class TokenReused(LimpethollowError, ValueError):
     """The token was used for a different booking; this request was not run."""
 
     remedy = "Create a new token for each booking."
 
 
-@error_kind("outcome_unknown", 504)
+@register_error("outcome_unknown", 504)
 class OutcomeUnknown(LimpethollowError, TimeoutError):
     """The booking may or may not have been run."""
 
     remedy = "Look the token up after retry_after seconds before booking again."
 
 
-@error_kind("conflict", 409)
+@register_error("conflict", 409)
 class Conflict(LimpethollowError):
     """The plan's base version is no longer the active version; nothing was changed."""
 
     remedy = "Plan again and confirm the new plan."
 
 
-@error_kind("settings", 400)
+@register_error("settings", 400)
 class SettingsError(LimpethollowError, ValueError):
     """A settings file is missing or invalid."""
 
--- a/packages/limpethollow-wire/src/limpethollow_wire/keys.py
+++ b/packages/limpethollow-wire/src/limpethollow_wire/keys.py
@@ -18,7 +18,7 @@
     return hmac.compare_digest(given.encode(), expected.encode())
 
 
-def bearer_key(header: str | None) -> str:
+def parse_bearer_key(header: str | None) -> str:
     """Extract the key from an Authorization header.
 
     Raises:
--- a/packages/limpethollow-wire/src/limpethollow_wire/peers.py
+++ b/packages/limpethollow-wire/src/limpethollow_wire/peers.py
@@ -60,7 +60,7 @@
     listed: bool = False
 
 
-class RouteHeld(msgspec.Struct, frozen=True):
+class RouteHoldTime(msgspec.Struct, frozen=True):
     """Seconds for which callers may still cache the address of the leaving instance."""
 
     seconds: float
@@ -82,7 +82,7 @@
     error: dict[str, Any] | None = None
 
 
-class Records(msgspec.Struct, frozen=True):
+class ServiceRecords(msgspec.Struct, frozen=True):
     """Configuration records sent from one instance to another."""
 
     records: tuple[ServiceRecord, ...]
@@ -108,13 +108,13 @@
     relay: bool = False
 
 
-class Buckets(msgspec.Struct, frozen=True):
+class BucketHashes(msgspec.Struct, frozen=True):
     """Hash of each non-empty bucket of records, used to find where two instances differ."""
 
     hashes: dict[int, int]
 
 
-class Digest(msgspec.Struct, frozen=True):
+class VersionDigest(msgspec.Struct, frozen=True):
     """Versions by service for a subset of the records, including tombstones.
 
     Attributes:
@@ -126,19 +126,19 @@
     buckets: tuple[int, ...] = ()
 
 
-class Names(msgspec.Struct, frozen=True):
+class ServiceNames(msgspec.Struct, frozen=True):
     """Requests the records of the named services."""
 
     names: tuple[str, ...]
 
 
-class ListQuestion(msgspec.Struct, frozen=True):
+class InstanceListRequest(msgspec.Struct, frozen=True):
     """Requests the changes to the instance list since a revision."""
 
     revision: int
 
 
-class ListChange(msgspec.Struct, frozen=True):
+class InstanceListUpdate(msgspec.Struct, frozen=True):
     """Changes to the instance list.
 
     Attributes:
--- a/packages/limpethollow-wire/src/limpethollow_wire/searches.py
+++ b/packages/limpethollow-wire/src/limpethollow_wire/searches.py
@@ -117,13 +117,13 @@
     answer_in: float | None = None
 
 
-class GroupAbandon(msgspec.Struct, frozen=True):
+class GroupCancel(msgspec.Struct, frozen=True):
     """Tells a group's owner that the result of a request is no longer needed."""
 
     request_id: str
 
 
-class RecordQuestion(msgspec.Struct, frozen=True):
+class RecordRequest(msgspec.Struct, frozen=True):
     """Requests an instance's active configuration of a service."""
 
     service: str
@@ -136,7 +136,7 @@
     parts: tuple[Part, ...]
 
 
-class GroupVersions(msgspec.Struct, frozen=True):
+class GroupVersionsRequest(msgspec.Struct, frozen=True):
     """Requests the index versions that a group's owner can serve on all requested shards."""
 
     service: str
--- a/packages/limpethollow-wire/src/limpethollow_wire/versions.py
+++ b/packages/limpethollow-wire/src/limpethollow_wire/versions.py
@@ -27,7 +27,7 @@
     return version if version < 0 else version & _NUMBER_MASK
 
 
-def version_text(version: int) -> str:
+def format_version(version: int) -> str:
     """Return a version as human-readable text."""
     era, number = era_of(version), number_of(version)
     return f"{number} of era {era}" if era else str(number)
--- a/packages/limpethollow/src/limpethollow/views.py
+++ b/packages/limpethollow/src/limpethollow/views.py
@@ -7,7 +7,7 @@
 from limpethollow.models import BookingOutcome, Confirmation, OutcomeState, Plan, SearchAnswer
 from limpethollow.statuses import ProcessStatus
 from limpethollow_wire.instances import InstanceStatus
-from limpethollow_wire.versions import version_text
+from limpethollow_wire.versions import format_version
 
 T = TypeVar("T")
 View = Callable[[Any], list[str]]
@@ -59,7 +59,7 @@
 @view(Plan)
 def _plan(plan: Plan) -> list[str]:
     lines = [f"Plan {plan.id}", f"  {plan.action} service {plan.service}"]
-    lines.append(f"  made against version {version_text(plan.base_version)}")
+    lines.append(f"  made against version {format_version(plan.base_version)}")
     for change in plan.changes:
         lines.append(f"  {change.field}: {_short(change.old)} -> {_short(change.new)}")
     if plan.effect:
@@ -77,7 +77,7 @@
 
 @view(Confirmation)
 def _confirmation(done: Confirmation) -> list[str]:
-    lines = [f"Service {done.service} is at version {version_text(done.version)}."]
+    lines = [f"Service {done.service} is at version {format_version(done.version)}."]
     lines.append(f"  in force at: {_names(done.in_force)}")
     if done.lacking:
         lines.append(f"  not yet at: {_names(done.lacking)}")
@@ -120,7 +120,7 @@
         f"{status.id} (run {status.incarnation}) in {status.failure_domain}: {status.state}",
     ]
     lines += [
-        f"  service {name}: version {version_text(version)}"
+        f"  service {name}: version {format_version(version)}"
         for name, version in sorted(status.versions.items())
     ]
     lines += [f"  instance {peer}: {state}" for peer, state in sorted(status.peers.items())]
--- a/tests/unit/configuration/test_members.py
+++ b/tests/unit/configuration/test_members.py
@@ -12,15 +12,15 @@
     relays_of,
 )
 from limpethollow_wire.instances import InstanceInfo
-from limpethollow_wire.peers import Hello, ListChange
+from limpethollow_wire.peers import Hello, InstanceListUpdate
 
 
 def info(name: str, domain: str = "lton-a", state: str = "live") -> InstanceInfo:
     return InstanceInfo(name, domain, f"{name}:1", f"{name}:2", state=state)
 
 
-def whole(revision: int, *instances: InstanceInfo) -> ListChange:
-    return ListChange(WHOLE_LIST, revision, instances)
+def whole(revision: int, *instances: InstanceInfo) -> InstanceListUpdate:
+    return InstanceListUpdate(WHOLE_LIST, revision, instances)
 
 
 def membership(*instances: InstanceInfo) -> Membership:
@@ -127,7 +127,9 @@
                 assert set(follower._instances) == set(leader._instances)
                 assert follower.revision == leader.revision
 
-    @pytest.mark.parametrize("change", [whole(1, info("x")), ListChange(7, 9, (info("x"),))])
+    @pytest.mark.parametrize(
+        "change", [whole(1, info("x")), InstanceListUpdate(7, 9, (info("x"),))]
+    )
     def test_an_older_list_or_one_on_another_base_is_not_taken(self, change):
         view = membership(info("n1"))
         assert not view.listed(change, 0.0)
--- a/tests/unit/configuration/test_versions.py
+++ b/tests/unit/configuration/test_versions.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from limpethollow_wire.versions import era_of, number_of, version_of, version_text
+from limpethollow_wire.versions import era_of, format_version, number_of, version_of
 
 eras = st.integers(0, 1000)
 numbers = st.integers(0, 10**12)
@@ -29,4 +29,4 @@
 class TestText:
     @pytest.mark.parametrize(("era", "text"), [(0, "47"), (2, "47 of era 2")])
     def test_people_read_the_number_and_a_later_era(self, era, text):
-        assert version_text(version_of(era, 47)) == text
+        assert format_version(version_of(era, 47)) == text
