--- a/packages/limpethollow-node/src/limpethollow_node/platform/doors.py
+++ b/packages/limpethollow-node/src/limpethollow_node/platform/callerlisteners.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Doors:
+class CallerListeners:
     """Bound listeners; connections wait in the accept queue until the process serves them.
 
     Attributes:
@@ -20,7 +20,7 @@
     directory: socket.socket
 
     @classmethod
-    def open(cls, listen: Listen) -> "Doors":
+    def open(cls, listen: Listen) -> "CallerListeners":
         """Bind both listeners.
 
         Raises:
--- a/packages/limpethollow-node/src/limpethollow_node/platform/directory.py
+++ b/packages/limpethollow-node/src/limpethollow_node/platform/directory.py
@@ -12,7 +12,7 @@
 _JSON = (b"Content-Type", b"application/json")
 
 
-class DirectoryAnswers:
+class DirectoryHandler:
     """Answers callers that ask which addresses to connect to.
 
     Args:
@@ -39,7 +39,7 @@
         exchange.respond(Reply(200, [_JSON], msgspec.json.encode(body)))
 
 
-class ReadyAnswers:
+class ReadinessHandler:
     """Answers readiness checks.
 
     Args:
--- a/packages/limpethollow-node/src/limpethollow_node/platform/main.py
+++ b/packages/limpethollow-node/src/limpethollow_node/platform/main.py
@@ -11,7 +11,7 @@
 import argparse
 import sys
 
-from limpethollow_node.platform.doors import Doors
+from limpethollow_node.platform.callerlisteners import CallerListeners
 from limpethollow_node.platform.settings import PlatformSettings, load_settings, settings_path
 from limpethollow_node.process.garbage import QuietStart
 from limpethollow_wire.exceptions import SettingsError
@@ -56,7 +56,7 @@
     # Bind the listeners before importing the rest of the program, which takes 0.13 s. When all
     # instances restart after an outage, connections made during the import wait in the accept
     # queue and are served; a refused connection would cost the caller its only retry.
-    listeners = Doors.open(settings.listen)
+    listeners = CallerListeners.open(settings.listen)
     with QuietStart():
         from limpethollow_node.platform.runner import run
 
--- a/packages/limpethollow-node/src/limpethollow_node/platform/membership.py
+++ b/packages/limpethollow-node/src/limpethollow_node/platform/membership.py
@@ -15,7 +15,7 @@
 
 KIND = "instances"
 # The list may lack the own object for this long after the write, as updates take time to arrive.
-MISSING_SECONDS = 3.0
+LISTING_DELAY_SECONDS = 3.0
 # When the store has lost objects, instances spread their rewrites over this time.
 _REWRITE_SPREAD_SECONDS = 1.0
 
@@ -79,12 +79,12 @@
             return True
         if self._missing_since is None:
             self._missing_since = now
-        gone = now - self._missing_since > MISSING_SECONDS
+        gone = now - self._missing_since > LISTING_DELAY_SECONDS
         if gone:
             events.OWN_OBJECT_GONE.log()
         return gone
 
-    def store_is_back(self) -> None:
+    def on_store_back(self) -> None:
         """Retry a failed write at once."""
         self._retry_pause.end()
 
--- a/packages/limpethollow-node/src/limpethollow_node/platform/process.py
+++ b/packages/limpethollow-node/src/limpethollow_node/platform/process.py
@@ -18,14 +18,13 @@
 from limpethollow_node.engine.process.peers import Peers
 from limpethollow_node.engine.process.roster import Roster
 from limpethollow_node.engine.request.batches import BatchManager
-from limpethollow_node.platform.checks import StoreCheck
-from limpethollow_node.platform.directory import DirectoryAnswers, ReadyAnswers
-from limpethollow_node.platform.doors import Doors
+from limpethollow_node.platform.callerlisteners import CallerListeners
+from limpethollow_node.platform.directory import DirectoryHandler, ReadinessHandler
 from limpethollow_node.platform.feeds import Feed
 from limpethollow_node.platform.headers import HEADERS
 from limpethollow_node.platform.membership import KIND, Membership
 from limpethollow_node.platform.pauses import RetryPause
-from limpethollow_node.platform.quarantines import QuarantineKeeper
+from limpethollow_node.platform.quarantines import QuarantineSync
 from limpethollow_node.platform.settings import (
     Limits,
     PlatformSettings,
@@ -33,8 +32,9 @@
     settings_path,
     split_address,
 )
-from limpethollow_node.platform.sinks import sinks_for
+from limpethollow_node.platform.sinks import create_sinks
 from limpethollow_node.platform.store import Store
+from limpethollow_node.platform.storechecks import StoreCheck
 from limpethollow_node.process import events
 from limpethollow_node.process.garbage import look_between_requests
 from limpethollow_node.process.metrics import Metrics
@@ -72,7 +72,9 @@
         logs: The handler that writes log lines.
     """
 
-    def __init__(self, settings: PlatformSettings, listeners: Doors, logs: StdoutHandler) -> None:
+    def __init__(
+        self, settings: PlatformSettings, listeners: CallerListeners, logs: StdoutHandler
+    ) -> None:
         self._settings = settings
         self._listeners = listeners
         self._logs = logs
@@ -114,7 +116,7 @@
         self._servers: list[CallerServer] = []
         self._front = self._add_server(self._engine.handle)
         self._directory = self._add_server(
-            DirectoryAnswers(self._addresses_for_caller, self._list_ttl_seconds).handle
+            DirectoryHandler(self._addresses_for_caller, self._list_ttl_seconds).handle
         )
         self._lifecycle = Lifecycle(
             self._dispatch, self._engine, self._catalog, self._roster, self._peers, self._front
@@ -134,7 +136,7 @@
             first_start=settings.bootstrap,
             store_is_away=lambda: self._store_check.away,
         )
-        self._quarantine_keeper = QuarantineKeeper(
+        self._quarantine_keeper = QuarantineSync(
             self._store,
             self._dispatch.quarantines,
             RetryPause(self._rng, lambda: self._store_check.away),
@@ -213,7 +215,7 @@
     def _create_feeds(self) -> list[Feed]:
         """Return one feed per kind, with that of instances last."""
         evacuations = self._settings.follows_evacuations
-        sinks = sinks_for(self._catalog, self._peers.tell, evacuations=evacuations)
+        sinks = create_sinks(self._catalog, self._peers.tell, evacuations=evacuations)
         started = asyncio.get_running_loop().time()
         slow_until = started + (_FIRST_START_SECONDS if self._settings.bootstrap else 0.0)
         return [
@@ -256,7 +258,7 @@
 
     async def _listen(self) -> None:
         listen = self._settings.listen
-        ready = self._add_server(ReadyAnswers(lambda: self._lifecycle.is_ready).handle)
+        ready = self._add_server(ReadinessHandler(lambda: self._lifecycle.is_ready).handle)
         await ready.serve(open_listener(*split_address(listen.ready)))
         first, last = self._settings.internal_port_range
         await self._peers.serve(self._settings.ip, first)
@@ -268,12 +270,12 @@
 
     def _on_store_back(self) -> None:
         self._restart_feeds()
-        self._membership.store_is_back()
-        self._quarantine_keeper.store_is_back()
+        self._membership.on_store_back()
+        self._quarantine_keeper.on_store_back()
 
     def _on_store_restored(self) -> None:
         self._restart_feeds()
-        self._quarantine_keeper.store_restored()
+        self._quarantine_keeper.on_store_restored()
 
     async def _tick(self) -> None:
         """Run the periodic work that no event triggers."""
--- a/packages/limpethollow-node/src/limpethollow_node/platform/quarantines.py
+++ b/packages/limpethollow-node/src/limpethollow_node/platform/quarantines.py
@@ -32,14 +32,14 @@
 _DELETE_DELAY_SECONDS = 1.0
 
 
-class QuarantineKeeper:
+class QuarantineSync:
     """Writes the requests that this instance quarantines, and reads those of others.
 
     Instances inform each other over their links. The store serves a restart of all instances, and
     operators; only relays read it.
 
     Usage:
-        keeper = QuarantineKeeper(store, quarantines, pause, follows, first_start=False)
+        keeper = QuarantineSync(store, quarantines, pause, follows, first_start=False)
         await keeper.run()
 
     Args:
@@ -87,11 +87,11 @@
         quarantines.on_quarantined = self._schedule_write
         quarantines.on_released = self._schedule_delete
 
-    def store_is_back(self) -> None:
+    def on_store_back(self) -> None:
         """Retry failed calls at once."""
         self._pause.end()
 
-    def store_restored(self) -> None:
+    def on_store_restored(self) -> None:
         """Schedule a rewrite of what the store may have lost, and a read of what it has.
 
         Both wait until this instance follows the store: the first answer after a restore arrives
--- a/packages/limpethollow-node/src/limpethollow_node/platform/runner.py
+++ b/packages/limpethollow-node/src/limpethollow_node/platform/runner.py
@@ -5,13 +5,13 @@
 
 import uvloop
 
-from limpethollow_node.platform.doors import Doors
+from limpethollow_node.platform.callerlisteners import CallerListeners
 from limpethollow_node.platform.process import PlatformProcess
 from limpethollow_node.platform.settings import PlatformSettings
 from limpethollow_node.process.stdoutlogs import StdoutHandler, start_stdout_logs
 
 
-def run(settings: PlatformSettings, listeners: Doors) -> None:
+def run(settings: PlatformSettings, listeners: CallerListeners) -> None:
     """Run until the platform stops the process.
 
     Args:
@@ -25,7 +25,7 @@
         runner.run(_run(settings, listeners, logs))
 
 
-async def _run(settings: PlatformSettings, listeners: Doors, logs: StdoutHandler) -> None:
+async def _run(settings: PlatformSettings, listeners: CallerListeners, logs: StdoutHandler) -> None:
     process = PlatformProcess(settings, listeners, logs)
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGTERM, process.request_shutdown)
--- a/packages/limpethollow-node/src/limpethollow_node/platform/settings.py
+++ b/packages/limpethollow-node/src/limpethollow_node/platform/settings.py
@@ -7,7 +7,7 @@
 
 from limpethollow_wire.exceptions import SettingsError
 
-VARIABLE = "LIMPETHOLLOW_SETTINGS"
+SETTINGS_VARIABLE = "LIMPETHOLLOW_SETTINGS"
 # Maximum time for which a removed searcher is kept. An entry that lapsed only because the store was
 # unavailable may reappear within about two seconds.
 _MAX_REMOVAL_DELAY = 2.2
@@ -120,10 +120,10 @@
     Raises:
         SettingsError: The environment variable is not set.
     """
-    path = os.environ.get(VARIABLE)
+    path = os.environ.get(SETTINGS_VARIABLE)
     if not path:
         raise SettingsError(
-            f"The environment variable {VARIABLE} is not set.",
+            f"The environment variable {SETTINGS_VARIABLE} is not set.",
             remedy="Set it to the path of the settings file.",
         )
     return Path(path)
--- a/packages/limpethollow-node/src/limpethollow_node/platform/sinks.py
+++ b/packages/limpethollow-node/src/limpethollow_node/platform/sinks.py
@@ -26,7 +26,7 @@
 from limpethollow_wire.exceptions import BadRequest
 
 T = TypeVar("T")
-Tell = Callable[[Frame], None]
+SendToPeers = Callable[[Frame], None]
 
 STORE = "store"
 CONFIGURATION_NAME = "main"
@@ -62,7 +62,7 @@
         tell: Sends a frame to the peers.
     """
 
-    def __init__(self, catalog: Catalog, tell: Tell) -> None:
+    def __init__(self, catalog: Catalog, tell: SendToPeers) -> None:
         self._catalog = catalog
         self._send_to_peers = tell
         self._revision: Revision | None = None
@@ -106,7 +106,7 @@
         return version if self._catalog.offer_version(version, STORE) else None
 
 
-class BeliefSink(Sink, Generic[T]):
+class CachedKindSink(Sink, Generic[T]):
     """Keeps the local copy of a kind in step with the store and sends changes to the peers.
 
     Args:
@@ -123,7 +123,7 @@
         belief: ObjectCache[T],
         decode: Callable[[StoredObject], T],
         news: type[SearcherUpdate] | type[InstanceUpdate] | type[EvacuationUpdate],
-        tell: Tell,
+        tell: SendToPeers,
     ) -> None:
         self._kind = kind
         self._belief = belief
@@ -176,7 +176,7 @@
             return stored.name, None
 
 
-def sinks_for(catalog: Catalog, tell: Tell, *, evacuations: bool) -> dict[str, Sink]:
+def create_sinks(catalog: Catalog, tell: SendToPeers, *, evacuations: bool) -> dict[str, Sink]:
     """Return the sinks of all followed kinds, with that of instances last.
 
     Args:
@@ -193,5 +193,5 @@
         del kinds["evacuations"]
     sinks: dict[str, Sink] = {"config": ConfigurationSink(catalog, tell)}
     for kind, (belief, decode, news) in kinds.items():
-        sinks[kind] = BeliefSink(kind, belief, decode, news, tell)
+        sinks[kind] = CachedKindSink(kind, belief, decode, news, tell)
     return sinks
--- a/packages/limpethollow-node/src/limpethollow_node/platform/checks.py
+++ b/packages/limpethollow-node/src/limpethollow_node/platform/storechecks.py
@@ -12,12 +12,12 @@
 # other instances to start watching.
 CHECK_SECONDS = 0.7
 # A healthy store answers in 4 ms; a slow one takes 60 times as long.
-PATIENCE_SECONDS = 0.5
+CHECK_TIMEOUT_SECONDS = 0.5
 # Interval and timeout for an instance that has no state yet and refuses every caller until the
 # store is back: the recovery is detected within 0.25 s, at 0.4 of the cost of one call per second.
 # The timeout may be short because a store that is merely slow still answers the list calls.
 URGENT_CHECK_SECONDS = 0.1
-URGENT_PATIENCE_SECONDS = 0.15
+URGENT_CHECK_TIMEOUT_SECONDS = 0.15
 
 
 class StoreCheck:
@@ -87,7 +87,7 @@
             await asyncio.sleep(URGENT_CHECK_SECONDS if self.urgent else CHECK_SECONDS)
 
     async def _check(self) -> None:
-        timeout = URGENT_PATIENCE_SECONDS if self.urgent else PATIENCE_SECONDS
+        timeout = URGENT_CHECK_TIMEOUT_SECONDS if self.urgent else CHECK_TIMEOUT_SECONDS
         try:
             await self._store.check(self._kind, self._name, timeout)
         except Unavailable as error:
--- a/tests/unit/platform/test_checks.py
+++ b/tests/unit/platform/test_checks.py
@@ -2,11 +2,11 @@
 
 import asyncio
 
-from limpethollow_node.platform.checks import (
+from limpethollow_node.platform.storechecks import (
     CHECK_SECONDS,
-    PATIENCE_SECONDS,
+    CHECK_TIMEOUT_SECONDS,
     URGENT_CHECK_SECONDS,
-    URGENT_PATIENCE_SECONDS,
+    URGENT_CHECK_TIMEOUT_SECONDS,
     StoreCheck,
 )
 from limpethollow_wire.exceptions import Unavailable
@@ -64,13 +64,13 @@
 
     def test_an_outage_is_found_with_time_left_for_others_to_watch(self):
         """The bound is 3 s; others need a heartbeat's way, their jitter of 0.3 s and a tick."""
-        assert CHECK_SECONDS + PATIENCE_SECONDS <= 1.5
+        assert CHECK_SECONDS + CHECK_TIMEOUT_SECONDS <= 1.5
 
     def test_an_instance_that_refuses_all_callers_looks_more_often(self):
         """It started without the store; callers that it refuses have a second or so left."""
-        assert URGENT_CHECK_SECONDS + URGENT_PATIENCE_SECONDS <= 0.25
-        assert asyncio.run(self.patience(urgent=True)) == URGENT_PATIENCE_SECONDS
-        assert asyncio.run(self.patience(urgent=False)) == PATIENCE_SECONDS
+        assert URGENT_CHECK_SECONDS + URGENT_CHECK_TIMEOUT_SECONDS <= 0.25
+        assert asyncio.run(self.patience(urgent=True)) == URGENT_CHECK_TIMEOUT_SECONDS
+        assert asyncio.run(self.patience(urgent=False)) == CHECK_TIMEOUT_SECONDS
 
     async def patience(self, *, urgent: bool) -> float:
         store = FakeStore()
--- a/tests/unit/platform/test_main.py
+++ b/tests/unit/platform/test_main.py
@@ -3,7 +3,7 @@
 import subprocess
 import sys
 
-FIRST_IMPORT = "limpethollow_node.platform.doors"
+FIRST_IMPORT = "limpethollow_node.platform.callerlisteners"
 SCRIPT = f"""
 import runpy, signal, sys
 
--- a/tests/unit/platform/test_membership.py
+++ b/tests/unit/platform/test_membership.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from limpethollow_node.platform.membership import MISSING_SECONDS, Membership
+from limpethollow_node.platform.membership import LISTING_DELAY_SECONDS, Membership
 from limpethollow_policy.process.placements import Instance
 from limpethollow_wire.exceptions import Unavailable
 
@@ -42,8 +42,8 @@
         own = membership()
         own.look(True, 1, 100.0)
         assert not own.look(False, 1, 101.0)
-        assert not own.look(False, 1, 101.0 + MISSING_SECONDS)
-        assert own.look(False, 1, 101.1 + MISSING_SECONDS)
+        assert not own.look(False, 1, 101.0 + LISTING_DELAY_SECONDS)
+        assert own.look(False, 1, 101.1 + LISTING_DELAY_SECONDS)
 
     @pytest.mark.parametrize("era", [0, 1])
     def test_one_whose_entry_the_store_has_lost_joins_at_once(self, era):
@@ -70,6 +70,6 @@
         await asyncio.sleep(0.5)
         before = store.writes
         store.away = False
-        own.store_is_back()
+        own.on_store_back()
         await asyncio.wait_for(task, 0.2)
         return before, store.writes
--- a/tests/unit/platform/test_quarantines.py
+++ b/tests/unit/platform/test_quarantines.py
@@ -5,7 +5,7 @@
 
 from limpethollow_node.engine.process.quarantines import Quarantines
 from limpethollow_node.platform.pauses import RetryPause
-from limpethollow_node.platform.quarantines import QuarantineKeeper
+from limpethollow_node.platform.quarantines import QuarantineSync
 from limpethollow_node.process.metrics import Metrics
 from limpethollow_policy.process.crashes import CrashEvidence
 from limpethollow_policy.request.crash_guards import CrashGuard
@@ -34,7 +34,7 @@
 async def write_while_evidence_comes() -> list[dict]:
     store, quarantines = SlowStore(), Quarantines(Metrics(), lambda: 0.0)
     pause = RetryPause(Random(1), lambda: False)
-    keeper = QuarantineKeeper(store, quarantines, pause, lambda: False, first_start=True)
+    keeper = QuarantineSync(store, quarantines, pause, lambda: False, first_start=True)
     task = asyncio.create_task(keeper.run())
     lose_on_trial(quarantines, "i-1", "i-2", "i-3")
     await asyncio.sleep(0.05)
--- a/tests/unit/platform/test_sinks.py
+++ b/tests/unit/platform/test_sinks.py
@@ -4,7 +4,7 @@
 
 from limpethollow_node.engine.frames import InstanceUpdate
 from limpethollow_node.platform.codec import StoredObject
-from limpethollow_node.platform.sinks import BeliefSink
+from limpethollow_node.platform.sinks import CachedKindSink
 from limpethollow_node.platform.store import Change
 from limpethollow_policy.process.objectcaches import ObjectCache
 from limpethollow_policy.process.placements import Instance
@@ -29,7 +29,9 @@
     def __init__(self, era: int, number: int, *names: str) -> None:
         self.told: list[InstanceUpdate] = []
         self.belief: ObjectCache[Instance] = ObjectCache(lambda item: None, lambda name: None)
-        self.sink = BeliefSink("instances", self.belief, decode, InstanceUpdate, self.told.append)
+        self.sink = CachedKindSink(
+            "instances", self.belief, decode, InstanceUpdate, self.told.append
+        )
         self.belief.replace(
             {name: decode(change(name).object) for name in names}, Revision(era, number)
         )
