--- a/packages/limpethollow-node/src/limpethollow_node/connection/hangups.py
+++ b/packages/limpethollow-node/src/limpethollow_node/connection/hangups.py
@@ -131,7 +131,7 @@
         try:
             caller.hung_up()
         except Exception as error:
-            events.DEFECT.log(where="hang-up", error=repr(error), exc_info=True)
+            events.UNEXPECTED_ERROR.log(where="hang-up", error=repr(error), exc_info=True)
 
 
 def _has_ended(sock: socket.socket) -> bool:
--- a/packages/limpethollow-node/src/limpethollow_node/connection/listeners.py
+++ b/packages/limpethollow-node/src/limpethollow_node/connection/listeners.py
@@ -174,7 +174,7 @@
             return HttpReply(error.to_body(), error.status)
         except Exception as error:
             self._metrics.count("requests_refused", InternalError.code)
-            events.DEFECT.log(where="listener", error=repr(error), exc_info=True)
+            events.UNEXPECTED_ERROR.log(where="listener", error=repr(error), exc_info=True)
             return HttpReply(InternalError("The instance has a defect.").to_body(), 500)
 
     def _handle(self, handler: Any, request: HttpRequest) -> HttpReply:
@@ -249,4 +249,4 @@
 
 
 def _log_server_message(message: str = "", level: int = 20, traceback: bool = False) -> None:
-    events.SERVER_MESSAGE.log(text=message, exc_info=traceback)
+    events.HTTP_LIBRARY_MESSAGE.log(text=message, exc_info=traceback)
--- a/packages/limpethollow-node/src/limpethollow_node/connection/peer_listeners.py
+++ b/packages/limpethollow-node/src/limpethollow_node/connection/peer_listeners.py
@@ -170,7 +170,7 @@
         except LimpethollowError as error:
             reply = Frame(frame.id, error=error.to_body())
         except Exception as error:
-            events.DEFECT.log(
+            events.UNEXPECTED_ERROR.log(
                 where="peer request", kind=frame.kind, error=repr(error), exc_info=True
             )
             reply = Frame(frame.id, error=InternalError("The peer has a defect.").to_body())
--- a/packages/limpethollow-node/src/limpethollow_node/connection/pools.py
+++ b/packages/limpethollow-node/src/limpethollow_node/connection/pools.py
@@ -185,7 +185,7 @@
                     self._open.pop(number).close()
                 if siblings:
                     self._metrics.count(_COUNTER, "condemned_sibling", len(siblings))
-                events.CONNECTION_CONDEMNED.log(port=self._port, siblings=len(siblings))
+                events.CONNECTION_CLOSED.log(port=self._port, siblings=len(siblings))
             self._set_sweep()
             self._changed.notify_all()
 
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/admissioncontrol.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/admissioncontrol.py
@@ -65,7 +65,7 @@
     def _log_rate_cut(self) -> None:
         route = self._outgoing.route
         self._dispatch.metrics.count("admission_cuts", route.name)
-        events.ADMISSION_CUT.log(
+        events.ADMISSION_RATE_REDUCED.log(
             route=route.name,
             shards=len(route.shards),
             requests_a_second=round(self._shedder.rate, 1),
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/lifecycle.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/lifecycle.py
@@ -167,7 +167,7 @@
             events.ISOLATED.log(others=others)
             self._engine.end_retryable()
         elif was_isolated and not isolation.is_isolated:
-            events.REJOINED.log()
+            events.ISOLATION_ENDED.log()
         if isolation.is_isolated:
             self._dispatch.probe()
         self._front.leaving = isolation.is_isolated or self._shutdown_requested.is_set()
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/peers.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/peers.py
@@ -107,7 +107,7 @@
             try:
                 self._run_cycle(asyncio.get_running_loop().time())
             except Exception as error:
-                events.DEFECT.log(where="peers", error=repr(error), exc_info=True)
+                events.UNEXPECTED_ERROR.log(where="peers", error=repr(error), exc_info=True)
             await asyncio.sleep(HEARTBEAT_SECONDS)
 
     def open_missing_links(self) -> None:
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/quarantines.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/quarantines.py
@@ -108,7 +108,7 @@
         if report is None:
             return
         if was is not Standing.TRUSTED:
-            events.REQUEST_RELEASED.log(fingerprint=fingerprint, was=was.value, reason=reason)
+            events.SUSPICION_ENDED.log(fingerprint=fingerprint, was=was.value, reason=reason)
         if was is Standing.QUARANTINED:
             self.on_released(fingerprint)
         self.on_reports([report])
@@ -126,7 +126,7 @@
         released = self._ledger.expire(self._clock())
         for fingerprint in released:
             was = Standing.QUARANTINED.value
-            events.REQUEST_RELEASED.log(fingerprint=fingerprint, was=was, reason="expired")
+            events.SUSPICION_ENDED.log(fingerprint=fingerprint, was=was, reason="expired")
         return released
 
     def _add_own(self, report: CrashReport) -> None:
@@ -160,7 +160,7 @@
         for fingerprint in self._ledger.explained():
             report = self._ledger.discard_trials(fingerprint, self._clock())
             was = Standing.QUARANTINED.value
-            events.REQUEST_RELEASED.log(fingerprint=fingerprint, was=was, reason="explained")
+            events.SUSPICION_ENDED.log(fingerprint=fingerprint, was=was, reason="explained")
             self.on_released(fingerprint)
             self.on_reports([report])
 
--- a/packages/limpethollow-node/src/limpethollow_node/engine/request/attempts.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/request/attempts.py
@@ -283,7 +283,7 @@
         """Log that another searcher is called, and why."""
         now = self.dispatch.loop.time()
         first = self._in_flight[0].started
-        events.SENT_AGAIN.log(
+        events.ADDITIONAL_SEND.log(
             request=self.outgoing.id_text,
             service=self.service,
             why=why,
--- a/packages/limpethollow-node/src/limpethollow_node/engine/request/leaving.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/request/leaving.py
@@ -20,7 +20,7 @@
         return
     now = dispatch.loop.time()
     dispatch.metrics.count("sends_to_leaving_searchers", replica.state)
-    events.SENT_TO_LEAVING.log(
+    events.CALL_TO_LEAVING_SEARCHER.log(
         request=request_id.decode("latin-1"),
         searcher=replica.searcher.id,
         state=replica.state,
--- a/packages/limpethollow-node/src/limpethollow_node/platform/feeds.py
+++ b/packages/limpethollow-node/src/limpethollow_node/platform/feeds.py
@@ -149,7 +149,9 @@
                 await self._retry_pause.after_failure()
             except Exception as error:
                 # If this task ended, the instance would keep stale state without any sign of it.
-                events.DEFECT.log(where=f"feed {self._kind}", error=repr(error), exc_info=True)
+                events.UNEXPECTED_ERROR.log(
+                    where=f"feed {self._kind}", error=repr(error), exc_info=True
+                )
                 await asyncio.sleep(self._retry_pause.next_seconds())
 
     @property
@@ -215,11 +217,11 @@
         self._retry_pause.succeeded()
         if self._failed:
             self._failed = False
-            events.FEED_BACK.log(kind=self._kind, **self._revision_fields())
+            events.WATCH_RECOVERED.log(kind=self._kind, **self._revision_fields())
 
     def _mark_failed(self, error: LimpethollowError) -> None:
         if not self._failed:
-            events.FEED_LOST.log(kind=self._kind, **self._revision_fields(), error=str(error))
+            events.WATCH_FAILED.log(kind=self._kind, **self._revision_fields(), error=str(error))
         self._failed = True
 
     def _revision_fields(self) -> dict[str, int]:
--- a/packages/limpethollow-node/src/limpethollow_node/platform/main.py
+++ b/packages/limpethollow-node/src/limpethollow_node/platform/main.py
@@ -13,7 +13,7 @@
 
 from limpethollow_node.platform.callerlisteners import CallerListeners
 from limpethollow_node.platform.settings import PlatformSettings, load_settings, settings_path
-from limpethollow_node.process.garbage import QuietStart
+from limpethollow_node.process.garbage import StartupWithoutCollection
 from limpethollow_wire.exceptions import SettingsError
 
 EXIT_OK = 0
@@ -57,7 +57,7 @@
     # instances restart after an outage, connections made during the import wait in the accept
     # queue and are served; a refused connection would cost the caller its only retry.
     listeners = CallerListeners.open(settings.listen)
-    with QuietStart():
+    with StartupWithoutCollection():
         from limpethollow_node.platform.runner import run
 
     run(settings, listeners)
--- a/packages/limpethollow-node/src/limpethollow_node/platform/membership.py
+++ b/packages/limpethollow-node/src/limpethollow_node/platform/membership.py
@@ -81,7 +81,7 @@
             self._missing_since = now
         gone = now - self._missing_since > LISTING_DELAY_SECONDS
         if gone:
-            events.OWN_OBJECT_GONE.log()
+            events.OWN_OBJECT_REMOVED.log()
         return gone
 
     def on_store_back(self) -> None:
--- a/packages/limpethollow-node/src/limpethollow_node/platform/process.py
+++ b/packages/limpethollow-node/src/limpethollow_node/platform/process.py
@@ -36,7 +36,7 @@
 from limpethollow_node.platform.store import Store
 from limpethollow_node.platform.storechecks import StoreCheck
 from limpethollow_node.process import events
-from limpethollow_node.process.garbage import look_between_requests
+from limpethollow_node.process.garbage import collect_between_requests
 from limpethollow_node.process.metrics import Metrics
 from limpethollow_node.process.stdoutlogs import StdoutHandler
 from limpethollow_policy.process.changepaces import ChangePace
@@ -285,7 +285,7 @@
             try:
                 self._do_tick(loop.time())
             except Exception as error:
-                events.DEFECT.log(where="tick", error=repr(error), exc_info=True)
+                events.UNEXPECTED_ERROR.log(where="tick", error=repr(error), exc_info=True)
 
     def _do_tick(self, now: float) -> None:
         self._logs.report()
@@ -296,7 +296,7 @@
         self._follower.tick(now)
         for server in self._servers:
             server.sweep(now)
-        look_between_requests(busy=self._engine.is_busy)
+        collect_between_requests(busy=self._engine.is_busy)
 
     def _add_server(self, handler: Callable[[Exchange], None]) -> CallerServer:
         server = CallerServer(handler, self._on_refused)
@@ -335,7 +335,7 @@
     try:
         await job
     except Exception as error:
-        events.DEFECT.log(where=job.__qualname__, error=repr(error), exc_info=True)
+        events.UNEXPECTED_ERROR.log(where=job.__qualname__, error=repr(error), exc_info=True)
 
 
 def _instance_strength(limits: Limits) -> float:
--- a/packages/limpethollow-node/src/limpethollow_node/platform/sinks.py
+++ b/packages/limpethollow-node/src/limpethollow_node/platform/sinks.py
@@ -141,7 +141,7 @@
         items = {name: item for name, item in map(self._read, objects) if item is not None}
         if not self._belief.replace(items, revision):
             known = self._belief.revision
-            events.LIST_DROPPED.log(kind=self._kind, revision=revision, known=known)
+            events.OUTDATED_LIST_DISCARDED.log(kind=self._kind, revision=revision, known=known)
 
     def changed(self, changes: list[Change], revision: Revision) -> None:
         """Apply the changes and send them to the peers."""
--- a/packages/limpethollow-node/src/limpethollow_node/platform/storechecks.py
+++ b/packages/limpethollow-node/src/limpethollow_node/platform/storechecks.py
@@ -100,5 +100,5 @@
         self.answers = self._active.is_set()
         if self.away:
             self.away = False
-            events.PLATFORM_BACK.log()
+            events.PLATFORM_RECOVERED.log()
             self._on_available()
--- a/packages/limpethollow-node/src/limpethollow_node/process/actors.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/actors.py
@@ -213,7 +213,9 @@
 
     def on_failure(self, *details: Any) -> None:
         """Log the unexpected error that stopped the actor and fail all pending futures."""
-        events.DEFECT.log(where="group actor", service=self._service, error=repr(details[1]))
+        events.UNEXPECTED_ERROR.log(
+            where="group actor", service=self._service, error=repr(details[1])
+        )
         error = Unavailable(
             "The group failed unexpectedly and is restarting.", retry_after=_RETRY_AFTER
         )
@@ -334,7 +336,7 @@
         except Exception as error:
             # Every call must be reported to the scheduler exactly once, or its slot is never freed.
             result = CallFailedMessage(action.call_id, Failure.BROKEN, None)
-            events.DEFECT.log(where="searcher call", error=repr(error), exc_info=True)
+            events.UNEXPECTED_ERROR.log(where="searcher call", error=repr(error), exc_info=True)
         if self.actor_ref.is_alive():
             self.actor_ref.tell(result)
 
--- a/packages/limpethollow-node/src/limpethollow_node/process/configs.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/configs.py
@@ -33,7 +33,7 @@
 Listener = Callable[[tuple[ServiceRecord, ...]], None]
 
 
-def record_of(stored: PlatformObject) -> ServiceRecord:
+def decode_record(stored: PlatformObject) -> ServiceRecord:
     """Decode the service record stored in a platform object."""
     spec = stored.value.get("spec")
     return ServiceRecord(
@@ -44,7 +44,7 @@
     )
 
 
-class ConfigKeeper:
+class ConfigManager:
     """Merges service records from the platform and peers and notifies listeners of changes.
 
     Args:
@@ -69,7 +69,7 @@
         self._stopped = threading.Event()
         self._thread = threading.Thread(target=self._run, name="configs", daemon=True)
 
-    def __enter__(self) -> "ConfigKeeper":
+    def __enter__(self) -> "ConfigManager":
         self._thread.start()
         return self
 
@@ -131,7 +131,7 @@
         if record is not None and record.spec is not None:
             return record
         if not self.is_loaded:
-            self.check_current()
+            self.require_current()
         raise UnknownService(f"Service '{service}' does not exist.")
 
     def admit(self, service: str) -> ServiceRecord:
@@ -141,10 +141,10 @@
             UnknownService: The service was deleted or never existed.
             Unavailable: This instance can't confirm which configuration is in force.
         """
-        self.check_current()
+        self.require_current()
         return self.require(service)
 
-    def check_current(self) -> None:
+    def require_current(self) -> None:
         """Raise an error if this instance can't confirm which configuration is in force.
 
         Raises:
@@ -187,7 +187,7 @@
                 relay=relay,
             )
 
-    def digest_for(self, theirs: dict[int, int]) -> VersionDigest:
+    def digest_of_differing(self, theirs: dict[int, int]) -> VersionDigest:
         """Return the local versions in all buckets whose hash differs from the peer's."""
         with self._lock:
             buckets = self._configuration.differing_buckets(theirs)
@@ -266,7 +266,7 @@
         records = []
         for stored in objects:
             try:
-                records.append(record_of(stored))
+                records.append(decode_record(stored))
             except BadRequest as error:
                 self._metrics.count("records_unreadable", "platform")
                 events.RECORD_UNREADABLE.log(service=stored.name, error=str(error))
--- a/packages/limpethollow-node/src/limpethollow_node/process/drains.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/drains.py
@@ -4,7 +4,7 @@
 from concurrent.futures import ThreadPoolExecutor
 
 from limpethollow_node.process import events
-from limpethollow_node.process.configs import ConfigKeeper
+from limpethollow_node.process.configs import ConfigManager
 from limpethollow_node.process.groups import LocalGroups
 from limpethollow_node.process.links import PeerLinks
 from limpethollow_node.process.members import MemberKeeper
@@ -21,7 +21,7 @@
 _LEAVING = "leaving"
 
 
-class DrainTeller:
+class DrainNotifier:
     """Sends drain notices to the first owners of a group.
 
     Further owners learn that a searcher is draining from its replies to their own calls.
@@ -37,7 +37,7 @@
     def __init__(
         self,
         members: MemberKeeper,
-        configs: ConfigKeeper,
+        configs: ConfigManager,
         links: PeerLinks,
         groups: LocalGroups,
         metrics: Metrics,
@@ -50,7 +50,7 @@
         self._listed: frozenset[str] = frozenset()
         self._executor = ThreadPoolExecutor(_MAX_WORKERS, thread_name_prefix="drain-notice")
 
-    def __enter__(self) -> "DrainTeller":
+    def __enter__(self) -> "DrainNotifier":
         return self
 
     def __exit__(self, *_: object) -> None:
@@ -58,7 +58,7 @@
 
     def heard(self, notice: DrainNotice) -> None:
         """Forward a report that a searcher made to a group of this instance."""
-        events.SEARCHER_DRAINS.log(searcher=notice.searcher, draining=notice.draining)
+        events.SEARCHER_DRAINING.log(searcher=notice.searcher, draining=notice.draining)
         self._executor.submit(self._notify_owners, notice, time.monotonic())
 
     def listed(self, searchers: tuple[SearcherListing, ...]) -> None:
--- a/packages/limpethollow-node/src/limpethollow_node/process/events.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/events.py
@@ -51,11 +51,13 @@
 STARTED = _event(100, logging.INFO, "instance started")
 STOPPING = _event(101, logging.INFO, "graceful shutdown started")
 STOPPED = _event(102, logging.INFO, "instance stopped")
-BOUND_REACHED = _event(103, logging.WARNING, "shutdown time limit reached with requests still open")
-DEFECT = _event(104, logging.ERROR, "unexpected error; this is a bug")
+SHUTDOWN_LIMIT_REACHED = _event(
+    103, logging.WARNING, "shutdown time limit reached with requests still open"
+)
+UNEXPECTED_ERROR = _event(104, logging.ERROR, "unexpected error; this is a bug")
 LISTENING = _event(105, logging.INFO, "accepting connections from callers")
 DRAINED = _event(110, logging.INFO, "wait before the exit ended")
-PEER_NOT_TOLD = _event(
+PEER_NOT_NOTIFIED = _event(
     111, logging.WARNING, "failed to notify a peer that this instance is leaving"
 )
 EXIT_FORCED = _event(112, logging.ERROR, "exit forced because the shutdown hung")
@@ -64,8 +66,8 @@
 # 200: configuration and platform
 RECORDS_APPLIED = _event(200, logging.INFO, "configuration records applied")
 PLATFORM_FAILED = _event(201, logging.WARNING, "call to the platform failed")
-PLATFORM_BACK = _event(202, logging.INFO, "platform responds again")
-PLAN_MADE = _event(203, logging.INFO, "plan created")
+PLATFORM_RECOVERED = _event(202, logging.INFO, "platform responds again")
+PLAN_CREATED = _event(203, logging.INFO, "plan created")
 PLAN_CONFIRMED = _event(204, logging.INFO, "plan confirmed")
 PLAN_CONFLICT = _event(205, logging.WARNING, "plan refused because its base is stale")
 RECORD_UNREADABLE = _event(206, logging.ERROR, "configuration object can't be read")
@@ -78,15 +80,15 @@
 )
 SEED_FAILED = _event(210, logging.INFO, "a seed address did not answer")
 OBJECT_UNREADABLE = _event(211, logging.WARNING, "platform object can't be read")
-FEED_LOST = _event(212, logging.WARNING, "watch of a kind of platform objects failed")
-FEED_BACK = _event(213, logging.INFO, "watch of a kind of platform objects works again")
+WATCH_FAILED = _event(212, logging.WARNING, "watch of a kind of platform objects failed")
+WATCH_RECOVERED = _event(213, logging.INFO, "watch of a kind of platform objects works again")
 VERSION_IN_FORCE = _event(214, logging.INFO, "configuration version is now in force")
 SETTINGS_RELOADED = _event(215, logging.INFO, "settings file reloaded")
 SETTINGS_REFUSED = _event(
     216, logging.ERROR, "settings file can't be used; keeping the previous settings"
 )
 STORE_RESTORED = _event(217, logging.WARNING, "store was restored from an older copy")
-LIST_DROPPED = _event(218, logging.WARNING, "outdated list from the store discarded")
+OUTDATED_LIST_DISCARDED = _event(218, logging.WARNING, "outdated list from the store discarded")
 ERA_UNREADABLE = _event(219, logging.WARNING, "store response has no usable era")
 
 # 300: instances
@@ -96,19 +98,19 @@
 MEMBERS_CHANGED = _event(303, logging.INFO, "list of instances changed")
 MEMBER_REMOVED = _event(304, logging.INFO, "permanently lost instance removed")
 ISOLATED = _event(305, logging.WARNING, "no peer or searcher responds; refusing new requests")
-REJOINED = _event(306, logging.INFO, "peers or searchers respond again")
-OWN_OBJECT_GONE = _event(
+ISOLATION_ENDED = _event(306, logging.INFO, "peers or searchers respond again")
+OWN_OBJECT_REMOVED = _event(
     307, logging.WARNING, "instance's own object was removed; writing it again"
 )
 
 # 400: searchers
-SEARCHER_DRAINS = _event(451, logging.INFO, "searcher is draining or in service again")
-CONNECTION_CONDEMNED = _event(450, logging.DEBUG, "connection to a searcher closed after an error")
+SEARCHER_DRAINING = _event(451, logging.INFO, "searcher is draining or in service again")
+CONNECTION_CLOSED = _event(450, logging.DEBUG, "connection to a searcher closed after an error")
 SEARCHER_CALL_FAILED = _event(400, logging.DEBUG, "call to a searcher failed")
 SEARCHER_UNREACHABLE = _event(401, logging.INFO, "failed to connect to a searcher")
 SEND_FAILED = _event(402, logging.INFO, "request to a searcher got no usable reply")
 SEARCHER_LISTED = _event(403, logging.INFO, "searcher entry added, changed or removed")
-SENT_AGAIN = _event(404, logging.INFO, "request also sent to another searcher")
+ADDITIONAL_SEND = _event(404, logging.INFO, "request also sent to another searcher")
 SHARDS_HEDGED = _event(
     405, logging.INFO, "late shards of a search also requested from other searchers"
 )
@@ -119,17 +121,17 @@
 DOMAIN_RESTORED = _event(408, logging.INFO, "evacuated failure domain is in use again")
 LOAD_UNREADABLE = _event(409, logging.DEBUG, "load report of a searcher can't be read")
 SEARCHERS_LOST = _event(410, logging.WARNING, "connections to searchers lost during a request")
-SENT_TO_LEAVING = _event(411, logging.INFO, "call sent to a searcher that is leaving")
+CALL_TO_LEAVING_SEARCHER = _event(411, logging.INFO, "call sent to a searcher that is leaving")
 
 # 500: requests
 REQUEST_REFUSED = _event(500, logging.DEBUG, "request refused")
-SERVER_MESSAGE = _event(502, logging.DEBUG, "message from the HTTP library")
-ADMISSION_CUT = _event(
+HTTP_LIBRARY_MESSAGE = _event(502, logging.DEBUG, "message from the HTTP library")
+ADMISSION_RATE_REDUCED = _event(
     521, logging.INFO, "admission rate reduced because too many requests were congested"
 )
 REQUEST_ENDED = _event(520, logging.INFO, "a caller's request ended")
 REQUEST_SUSPECTED = _event(522, logging.WARNING, "request is suspected of crashing its searchers")
-REQUEST_RELEASED = _event(523, logging.INFO, "request is no longer suspected or quarantined")
+SUSPICION_ENDED = _event(523, logging.INFO, "request is no longer suspected or quarantined")
 BOOKING_UNKNOWN = _event(501, logging.WARNING, "outcome of a booking is unknown")
 BOOKING_RESOLVED = _event(
     510, logging.INFO, "outcome of a booking resolved by querying its searchers"
--- a/packages/limpethollow-node/src/limpethollow_node/process/garbage.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/garbage.py
@@ -13,7 +13,7 @@
 _COLLECTIONS_PER_GENERATION_1 = 16
 
 
-def look_between_requests(*, busy: bool) -> None:
+def collect_between_requests(*, busy: bool) -> None:
     """Collect garbage while no request is in progress; called a few times per second.
 
     Otherwise the collection starts at whichever allocation reaches the threshold of 10,000 objects,
@@ -28,7 +28,7 @@
         gc.collect(1 if collections >= _COLLECTIONS_PER_GENERATION_1 else 0)
 
 
-class QuietStart:
+class StartupWithoutCollection:
     """Disables garbage collection during program startup and excludes the loaded objects from it.
 
     The 30,000 objects that the program loads live until it exits. A full collection over them takes
@@ -37,13 +37,13 @@
     259 under heavy load.
 
     Usage:
-        with QuietStart():
+        with StartupWithoutCollection():
             import everything
     """
 
     __slots__ = ()
 
-    def __enter__(self) -> "QuietStart":
+    def __enter__(self) -> "StartupWithoutCollection":
         gc.disable()
         return self
 
--- a/packages/limpethollow-node/src/limpethollow_node/process/groups.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/groups.py
@@ -233,7 +233,7 @@
         """Return a client for any searcher, subject to this instance's connection limits."""
         return _make_client(self._resources, searcher)
 
-    def listen_for_drains(self, listener: Callable[[DrainNotice], None]) -> None:
+    def add_drain_listener(self, listener: Callable[[DrainNotice], None]) -> None:
         """Register a callable for reports that a searcher is draining or in service again."""
         self._resources.drain_listeners.append(listener)
 
--- a/packages/limpethollow-node/src/limpethollow_node/process/lifecycles.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/lifecycles.py
@@ -41,7 +41,7 @@
 
     Attributes:
         refuse_tokens: Stops accepting new booking tokens.
-        tell_peer: Notifies one peer that this instance is leaving; returns the seconds for which
+        notify_peer: Notifies one peer that this instance is leaving; returns the seconds for which
             callers of that peer may still hold this instance's address.
         peers: Returns the ids of the other instances that are currently listed.
         held: Returns the seconds for which callers may still hold this instance's address from
@@ -52,7 +52,7 @@
     """
 
     refuse_tokens: Callable[[], None]
-    tell_peer: Callable[[str], float]
+    notify_peer: Callable[[str], float]
     peers: Callable[[], tuple[str, ...]]
     held: Callable[[], float]
     longest_ttl: Callable[[], float]
@@ -175,7 +175,9 @@
                 case NotifyPeer(peer_id):
                     executor.submit(self._notify_peer, peer_id, hooks)
                 case GiveUp(reason):
-                    events.BOUND_REACHED.log(reason=reason, open=hooks.open_work().requests)
+                    events.SHUTDOWN_LIMIT_REACHED.log(
+                        reason=reason, open=hooks.open_work().requests
+                    )
                     hooks.give_up()
                 case Exit(reason):
                     events.DRAINED.log(reason=reason)
@@ -185,10 +187,10 @@
         retry = True
         while retry:
             try:
-                held = hooks.tell_peer(peer_id)
+                held = hooks.notify_peer(peer_id)
             except Exception as error:
                 # Catch all errors: if this task ended unnoticed, the exit would wait for the bound.
-                events.PEER_NOT_TOLD.log(peer=peer_id, error=repr(error))
+                events.PEER_NOT_NOTIFIED.log(peer=peer_id, error=repr(error))
                 with self._lock:
                     retry = bool(self._shutdown.peer_not_notified(peer_id, time.monotonic()))
                 time.sleep(_POLL_SECONDS)
@@ -198,7 +200,7 @@
             return
 
 
-class RouteBook:
+class RouteSelector:
     """Selects instances for route answers and records how long callers may hold them.
 
     One lock covers both the selection and its record. Otherwise a notice that an instance is
@@ -221,7 +223,7 @@
             self._route_holds.answered(tuple(i.id for i in instances), ttl, time.monotonic())
         return instances
 
-    def peer_leaves(self, instance_id: str, incarnation: str) -> float:
+    def withdraw_peer(self, instance_id: str, incarnation: str) -> float:
         """Exclude a leaving instance from answers; return how long callers may still hold it."""
         with self._lock:
             now = time.monotonic()
--- a/packages/limpethollow-node/src/limpethollow_node/process/node.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/node.py
@@ -8,10 +8,10 @@
 from limpethollow_node.connection.listeners import Listener
 from limpethollow_node.connection.peer_listeners import PeerListener
 from limpethollow_node.process import events
-from limpethollow_node.process.configs import ConfigKeeper
-from limpethollow_node.process.drains import DrainTeller
+from limpethollow_node.process.configs import ConfigManager
+from limpethollow_node.process.drains import DrainNotifier
 from limpethollow_node.process.groups import LocalGroups
-from limpethollow_node.process.lifecycles import Lifecycle, RouteBook, ShutdownHooks
+from limpethollow_node.process.lifecycles import Lifecycle, RouteSelector, ShutdownHooks
 from limpethollow_node.process.links import PeerLinks
 from limpethollow_node.process.members import MemberKeeper
 from limpethollow_node.process.metrics import Metrics
@@ -86,9 +86,9 @@
         self._lifecycle.run(
             ShutdownHooks(
                 refuse_tokens=self._refuse_tokens,
-                tell_peer=self._notify_peer,
+                notify_peer=self._notify_peer,
                 peers=lambda: tuple(peer.id for peer in self._members.peers()),
-                held=lambda: self._routes.peer_leaves(self._id, self._incarnation),
+                held=lambda: self._routes.withdraw_peer(self._id, self._incarnation),
                 longest_ttl=self._longest_ttl,
                 open_work=self._open_work,
                 give_up=self._abort_open_requests,
@@ -118,8 +118,8 @@
         self._members = MemberKeeper(
             self._id, settings.instance.failure_domain, platform, self._rng
         )
-        self._routes = RouteBook(self._members)
-        self._configs = ConfigKeeper(platform, self._members, metrics, self._rng)
+        self._routes = RouteSelector(self._members)
+        self._configs = ConfigManager(platform, self._members, metrics, self._rng)
         self._links = PeerLinks(self._members, keys.peer, self._hello, self._rng, metrics)
         self._groups = LocalGroups(timers, metrics, f"{self._id}-{self._incarnation}")
         groups = self._groups
@@ -152,8 +152,8 @@
             sync,
             groups,
         )
-        drains = DrainTeller(self._members, self._configs, self._links, groups, metrics)
-        groups.listen_for_drains(drains.heard)
+        drains = DrainNotifier(self._members, self._configs, self._links, groups, metrics)
+        groups.add_drain_listener(drains.heard)
         self._members.listen_for_searchers(drains.listed)
         caller_context = CallerContext(
             self._id,
--- a/packages/limpethollow-node/src/limpethollow_node/process/platforms.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/platforms.py
@@ -287,7 +287,7 @@
             self._retries.succeeded()
             was_failing, self._is_failing = self._is_failing, False
         if was_failing:
-            events.PLATFORM_BACK.log()
+            events.PLATFORM_RECOVERED.log()
 
 
 def _query_after(after: int) -> str:
--- a/packages/limpethollow-node/src/limpethollow_node/process/relays.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/relays.py
@@ -9,7 +9,7 @@
 
 from limpethollow_node.connection.peers import PeerLink
 from limpethollow_node.process import events
-from limpethollow_node.process.configs import ConfigKeeper
+from limpethollow_node.process.configs import ConfigManager
 from limpethollow_node.process.links import PeerLinks
 from limpethollow_node.process.members import MemberKeeper
 from limpethollow_node.process.metrics import Metrics
@@ -58,7 +58,7 @@
 
     def __init__(
         self,
-        configs: ConfigKeeper,
+        configs: ConfigManager,
         members: MemberKeeper,
         links: PeerLinks,
         metrics: Metrics,
@@ -211,7 +211,7 @@
         except LimpethollowError as error:
             self._metrics.count("comparisons_failed", error.code)
         except Exception as error:
-            events.DEFECT.log(where="peer sync", error=repr(error), exc_info=True)
+            events.UNEXPECTED_ERROR.log(where="peer sync", error=repr(error), exc_info=True)
         finally:
             with self._lock:
                 self._running_subjects.discard(subject)
--- a/packages/limpethollow-node/src/limpethollow_node/process/timers.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/timers.py
@@ -54,7 +54,7 @@
             try:
                 callback()
             except Exception as error:
-                events.DEFECT.log(where="timer", error=repr(error), exc_info=True)
+                events.UNEXPECTED_ERROR.log(where="timer", error=repr(error), exc_info=True)
 
     def _wait_for_callback(self) -> Callable[[], None] | None:
         with self._condition:
--- a/packages/limpethollow-node/src/limpethollow_node/request/booking_drivers.py
+++ b/packages/limpethollow-node/src/limpethollow_node/request/booking_drivers.py
@@ -186,7 +186,7 @@
             return DispatchFailed(action.attempt, error.failure, error.retry_after)
         except Exception as error:
             # A defect proves nothing about what was sent, so it counts as a lost reply.
-            events.DEFECT.log(where="booking", error=repr(error), exc_info=True)
+            events.UNEXPECTED_ERROR.log(where="booking", error=repr(error), exc_info=True)
             return DispatchFailed(action.attempt, Failure.BROKEN)
         return DispatchAnswered(action.attempt, reply)
 
--- a/packages/limpethollow-node/src/limpethollow_node/request/booking_resolvers.py
+++ b/packages/limpethollow-node/src/limpethollow_node/request/booking_resolvers.py
@@ -50,7 +50,7 @@
         except CallFailed as error:
             return LookUpFailed(searcher.id, error.failure)
         except Exception as error:
-            events.DEFECT.log(where="booking look-up", error=repr(error), exc_info=True)
+            events.UNEXPECTED_ERROR.log(where="booking look-up", error=repr(error), exc_info=True)
             return LookUpFailed(searcher.id, Failure.BROKEN)
         return LookUpAnswered(searcher.id, reply)
 
--- a/packages/limpethollow-node/src/limpethollow_node/request/bookings.py
+++ b/packages/limpethollow-node/src/limpethollow_node/request/bookings.py
@@ -8,7 +8,7 @@
 
 from limpethollow_node.connection.peers import PeerLost, PeerUnreachable, require_time
 from limpethollow_node.process import events
-from limpethollow_node.process.configs import ConfigKeeper
+from limpethollow_node.process.configs import ConfigManager
 from limpethollow_node.process.groups import LocalGroup, LocalGroups
 from limpethollow_node.process.links import PeerLinks
 from limpethollow_node.process.metrics import Metrics
@@ -52,7 +52,7 @@
         self,
         own_id: str,
         incarnation: str,
-        configs: ConfigKeeper,
+        configs: ConfigManager,
         links: PeerLinks,
         groups: LocalGroups,
         metrics: Metrics,
--- a/packages/limpethollow-node/src/limpethollow_node/request/callers.py
+++ b/packages/limpethollow-node/src/limpethollow_node/request/callers.py
@@ -5,8 +5,8 @@
 
 from limpethollow_node.connection.hangups import HangUpWatch
 from limpethollow_node.connection.routes import HttpReply, HttpRequest, Routes
-from limpethollow_node.process.configs import ConfigKeeper
-from limpethollow_node.process.lifecycles import RouteBook
+from limpethollow_node.process.configs import ConfigManager
+from limpethollow_node.process.lifecycles import RouteSelector
 from limpethollow_node.process.members import MemberKeeper
 from limpethollow_node.request.bookings import BookingExecutor
 from limpethollow_node.request.searches import Coordinator
@@ -29,9 +29,9 @@
 
     own_id: str
     incarnation: str
-    configs: ConfigKeeper
+    configs: ConfigManager
     members: MemberKeeper
-    routes: RouteBook
+    routes: RouteSelector
     coordinator: Coordinator
     hang_ups: HangUpWatch
     bookings: BookingExecutor
--- a/packages/limpethollow-node/src/limpethollow_node/request/configs.py
+++ b/packages/limpethollow-node/src/limpethollow_node/request/configs.py
@@ -28,7 +28,7 @@
 
 @peer_request("sync.digest", BucketHashes)
 def _digest(context: PeerContext, body: BucketHashes) -> Any:
-    return context.configs.digest_for(body.hashes)
+    return context.configs.digest_of_differing(body.hashes)
 
 
 @peer_request("sync.fetch", ServiceNames)
--- a/packages/limpethollow-node/src/limpethollow_node/request/operators.py
+++ b/packages/limpethollow-node/src/limpethollow_node/request/operators.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from limpethollow_node.connection.routes import Handler, HttpReply, HttpRequest, Routes
-from limpethollow_node.process.configs import ConfigKeeper
+from limpethollow_node.process.configs import ConfigManager
 from limpethollow_node.process.members import MemberKeeper
 from limpethollow_node.process.metrics import Metrics
 from limpethollow_node.version.planners import Planner
@@ -21,7 +21,7 @@
     """What the operators' handlers use."""
 
     key: str
-    configs: ConfigKeeper
+    configs: ConfigManager
     members: MemberKeeper
     planner: Planner
     metrics: Metrics
--- a/packages/limpethollow-node/src/limpethollow_node/request/owners.py
+++ b/packages/limpethollow-node/src/limpethollow_node/request/owners.py
@@ -9,7 +9,7 @@
 
 from limpethollow_node.connection.peers import PeerLost, PeerUnreachable, require_time
 from limpethollow_node.process import events
-from limpethollow_node.process.configs import ConfigKeeper
+from limpethollow_node.process.configs import ConfigManager
 from limpethollow_node.process.links import PeerLinks
 from limpethollow_node.process.members import MemberKeeper
 from limpethollow_node.process.metrics import Metrics
@@ -59,7 +59,7 @@
     def __init__(
         self,
         own_id: str,
-        configs: ConfigKeeper,
+        configs: ConfigManager,
         members: MemberKeeper,
         links: PeerLinks,
         parts: GroupParts,
--- a/packages/limpethollow-node/src/limpethollow_node/request/parts.py
+++ b/packages/limpethollow-node/src/limpethollow_node/request/parts.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from limpethollow_node.connection.peers import require_time
-from limpethollow_node.process.configs import ConfigKeeper
+from limpethollow_node.process.configs import ConfigManager
 from limpethollow_node.process.groups import LocalGroup, LocalGroups
 from limpethollow_policy.request.events import Search
 from limpethollow_policy.version.groups import GroupCache
@@ -39,7 +39,7 @@
         cuts: How services are cut into groups.
     """
 
-    def __init__(self, configs: ConfigKeeper, groups: LocalGroups, cuts: GroupCache) -> None:
+    def __init__(self, configs: ConfigManager, groups: LocalGroups, cuts: GroupCache) -> None:
         self._configs = configs
         self._groups = groups
         self._cuts = cuts
--- a/packages/limpethollow-node/src/limpethollow_node/request/peers.py
+++ b/packages/limpethollow-node/src/limpethollow_node/request/peers.py
@@ -4,9 +4,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from limpethollow_node.process.configs import ConfigKeeper
+from limpethollow_node.process.configs import ConfigManager
 from limpethollow_node.process.groups import LocalGroups
-from limpethollow_node.process.lifecycles import RouteBook
+from limpethollow_node.process.lifecycles import RouteSelector
 from limpethollow_node.process.members import MemberKeeper
 from limpethollow_node.process.relays import PeerSync
 from limpethollow_node.request.bookings import BookingExecutor
@@ -39,9 +39,9 @@
 class PeerContext:
     """What the peers' handlers use."""
 
-    configs: ConfigKeeper
+    configs: ConfigManager
     members: MemberKeeper
-    routes: RouteBook
+    routes: RouteSelector
     coordinator: Coordinator
     bookings: BookingExecutor
     status: Callable[[], InstanceStatus]
@@ -76,13 +76,13 @@
 
 @peer_request("group.search", GroupSearch)
 def _search(context: PeerContext, body: GroupSearch) -> Any:
-    context.configs.check_current()
+    context.configs.require_current()
     return context.coordinator.parts.search(body)
 
 
 @peer_request("group.versions", GroupVersionsRequest)
 def _versions(context: PeerContext, body: GroupVersionsRequest) -> Any:
-    context.configs.check_current()
+    context.configs.require_current()
     return context.coordinator.parts.versions(body)
 
 
@@ -100,7 +100,7 @@
 
 @peer_request("booking.run", ForwardedBooking)
 def _book(context: PeerContext, body: ForwardedBooking) -> Any:
-    context.configs.check_current()
+    context.configs.require_current()
     return context.bookings.run_forwarded(body)
 
 
@@ -117,7 +117,7 @@
 
 @peer_request("instance.leaving", Leaving)
 def _leaving(context: PeerContext, body: Leaving) -> Any:
-    return RouteHoldTime(context.routes.peer_leaves(body.instance, body.incarnation))
+    return RouteHoldTime(context.routes.withdraw_peer(body.instance, body.incarnation))
 
 
 @peer_request("searcher.drain", DrainNotice)
--- a/packages/limpethollow-node/src/limpethollow_node/request/searches.py
+++ b/packages/limpethollow-node/src/limpethollow_node/request/searches.py
@@ -10,7 +10,7 @@
 
 from limpethollow_node.connection.hangups import WaitingCaller
 from limpethollow_node.connection.peers import require_time
-from limpethollow_node.process.configs import ConfigKeeper
+from limpethollow_node.process.configs import ConfigManager
 from limpethollow_node.process.groups import LocalGroups
 from limpethollow_node.process.links import PeerLinks
 from limpethollow_node.process.members import MemberKeeper
@@ -97,7 +97,7 @@
     def __init__(
         self,
         own_id: str,
-        configs: ConfigKeeper,
+        configs: ConfigManager,
         members: MemberKeeper,
         links: PeerLinks,
         groups: LocalGroups,
--- a/packages/limpethollow-node/src/limpethollow_node/version/planners.py
+++ b/packages/limpethollow-node/src/limpethollow_node/version/planners.py
@@ -4,7 +4,7 @@
 from random import Random
 
 from limpethollow_node.process import events
-from limpethollow_node.process.configs import SERVICE_KIND, ConfigKeeper, record_of
+from limpethollow_node.process.configs import SERVICE_KIND, ConfigManager, decode_record
 from limpethollow_node.process.members import MemberKeeper
 from limpethollow_node.process.platforms import PlatformClient, PlatformObject
 from limpethollow_node.process.relays import PeerSync
@@ -50,7 +50,7 @@
     def __init__(
         self,
         platform: PlatformClient,
-        configs: ConfigKeeper,
+        configs: ConfigManager,
         members: MemberKeeper,
         sync: PeerSync,
         rng: Random,
@@ -70,11 +70,11 @@
         """
         service = intent_service_name(intent)
         stored = self._stored(service)
-        current = record_of(stored) if stored else None
+        current = decode_record(stored) if stored else None
         name, version = self._free_slot(service, current.version if current else 0)
         plan = make_plan(str(name), intent, current)
         self._keep(name, plan, version)
-        events.PLAN_MADE.log(plan=plan.id, service=plan.service, action=plan.action)
+        events.PLAN_CREATED.log(plan=plan.id, service=plan.service, action=plan.action)
         return plan
 
     def confirm(self, plan_id: str, wait: float) -> Confirmation:
@@ -165,7 +165,7 @@
         service = StoredService(stored.version, stored.value) if stored else StoredService(0, {})
         written = service.version_of(str(name))
         if written and stored:
-            return record_of(stored), written
+            return decode_record(stored), written
         plan = self._plan(name)
         match judge(plan, service):
             case Verdict.NOTHING:
@@ -178,7 +178,7 @@
         except Conflict:
             # Ours after a lost reply, or somebody else's in between: reading again tells.
             raise Unavailable("The service was changed while the plan was confirmed.") from None
-        return record_of(written_now), written_now.version
+        return decode_record(written_now), written_now.version
 
     def _plan(self, name: PlanName) -> Plan:
         plan = convert(self._platform.read(PLAN_KIND, name.slot_name).value, Plan)
--- a/tests/unit/platform/test_garbage.py
+++ b/tests/unit/platform/test_garbage.py
@@ -5,10 +5,10 @@
 
 SCRIPT = """
 import gc
-from limpethollow_node.process.garbage import QuietStart
+from limpethollow_node.process.garbage import StartupWithoutCollection
 
 before = gc.get_stats()[0]["collections"]
-with QuietStart():
+with StartupWithoutCollection():
     import asyncio, json, logging, http.client
     kept = [[n] for n in range(20_000)]
     during = gc.get_stats()[0]["collections"] - before
@@ -20,20 +20,20 @@
 
 IDLE_SCRIPT = """
 import gc
-from limpethollow_node.process.garbage import QuietStart, look_between_requests
+from limpethollow_node.process.garbage import StartupWithoutCollection, collect_between_requests
 
-with QuietStart():
+with StartupWithoutCollection():
     pass
 def looks(busy):
     before = [generation["collections"] for generation in gc.get_stats()]
     kept = [[n] for n in range(2_000)]
-    look_between_requests(busy=busy)
+    collect_between_requests(busy=busy)
     after = [generation["collections"] for generation in gc.get_stats()]
     return [now - then for now, then in zip(after, before)]
 busy, idle = looks(True), looks(False)
 gc.collect(0)
 nothing_new = gc.get_stats()[0]["collections"]
-look_between_requests(busy=False)
+collect_between_requests(busy=False)
 nothing_new = gc.get_stats()[0]["collections"] - nothing_new
 older = sum(looks(False)[1] for _ in range(40))
 print(busy, idle, nothing_new, 1 <= older <= 4, sep=";")
