--- a/packages/limpethollow-node/src/limpethollow_node/connection/peer_listeners.py
+++ b/packages/limpethollow-node/src/limpethollow_node/connection/peer_listeners.py
@@ -44,7 +44,7 @@
         port: Port, 0 for a free one.
         key: The peers' shared key.
         hello: Returns who we are, current at each new link.
-        greeted: Told of each peer's hello.
+        hello_received: Told of each peer's hello.
         answer: Called with peer id, kind and plain body; returns the reply's message.
         metrics: Where refusals are counted.
     """
@@ -55,13 +55,13 @@
         port: int,
         key: str,
         hello: Callable[[], Hello],
-        greeted: Callable[[Hello], None],
+        hello_received: Callable[[Hello], None],
         answer: Answer,
         metrics: Metrics,
     ) -> None:
         self._key = key
         self._hello = hello
-        self._greeted = greeted
+        self._greeted = hello_received
         self._answer = answer
         self._metrics = metrics
         self._workers = ThreadPoolExecutor(_WORKERS, thread_name_prefix="peer-request")
--- a/packages/limpethollow-node/src/limpethollow_node/connection/peers.py
+++ b/packages/limpethollow-node/src/limpethollow_node/connection/peers.py
@@ -55,7 +55,7 @@
         address: `host:port` of the peer's websocket listener.
         key: The peers' shared key.
         hello: Who we are.
-        greeted: Told of the peer's own hello.
+        hello_received: Told of the peer's own hello.
         peer_id: Who must answer at the address; anybody where left out.
     """
 
@@ -64,7 +64,7 @@
         address: str,
         key: str,
         hello: Hello,
-        greeted: Callable[[Hello], None],
+        hello_received: Callable[[Hello], None],
         peer_id: str = "",
     ) -> None:
         self._ids = itertools.count(1)
@@ -89,7 +89,7 @@
                 legacy=True,
             )
             try:
-                greeted(self._exchange_hellos(hello, peer_id))
+                hello_received(self._exchange_hellos(hello, peer_id))
             except BaseException:
                 # Its threads and pings would live on with nobody who knows of them.
                 self._close_later()
--- a/packages/limpethollow-node/src/limpethollow_node/platform/runner.py
+++ b/packages/limpethollow-node/src/limpethollow_node/platform/runner.py
@@ -8,7 +8,7 @@
 from limpethollow_node.platform.callerlisteners import CallerListeners
 from limpethollow_node.platform.process import PlatformProcess
 from limpethollow_node.platform.settings import PlatformSettings
-from limpethollow_node.process.stdoutlogs import StdoutHandler, start_stdout_logs
+from limpethollow_node.process.stdoutlogs import StdoutHandler, configure_stdout_logging
 
 
 def run(settings: PlatformSettings, listeners: CallerListeners) -> None:
@@ -18,7 +18,7 @@
         settings: The platform's settings.
         listeners: The bound listeners for callers.
     """
-    logs = start_stdout_logs(settings.node_name)
+    logs = configure_stdout_logging(settings.node_name)
     # A shard call takes 0.108 ms of processor time in total on uvloop, against 0.142 ms on the
     # standard asyncio loop (benchmarks/engines.py, five rounds of 120 searches).
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
--- a/packages/limpethollow-node/src/limpethollow_node/process/configs.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/configs.py
@@ -6,7 +6,7 @@
 from random import Random
 
 from limpethollow_node.process import events
-from limpethollow_node.process.members import MemberKeeper
+from limpethollow_node.process.members import MembershipTracker
 from limpethollow_node.process.metrics import Metrics
 from limpethollow_node.process.platforms import ObjectList, PlatformClient, PlatformObject
 from limpethollow_policy.process.backoffs import Backoff
@@ -55,7 +55,7 @@
     """
 
     def __init__(
-        self, platform: PlatformClient, members: MemberKeeper, metrics: Metrics, rng: Random
+        self, platform: PlatformClient, members: MembershipTracker, metrics: Metrics, rng: Random
     ) -> None:
         self._platform = platform
         self._members = members
--- a/packages/limpethollow-node/src/limpethollow_node/process/drains.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/drains.py
@@ -7,7 +7,7 @@
 from limpethollow_node.process.configs import ConfigManager
 from limpethollow_node.process.groups import LocalGroups
 from limpethollow_node.process.links import PeerLinks
-from limpethollow_node.process.members import MemberKeeper
+from limpethollow_node.process.members import MembershipTracker
 from limpethollow_node.process.metrics import Metrics
 from limpethollow_policy.connection.connection_limits import MAX_CONCURRENT_OWNERS
 from limpethollow_policy.process.owners import group_key, owner_order
@@ -36,7 +36,7 @@
 
     def __init__(
         self,
-        members: MemberKeeper,
+        members: MembershipTracker,
         configs: ConfigManager,
         links: PeerLinks,
         groups: LocalGroups,
--- a/packages/limpethollow-node/src/limpethollow_node/process/lifecycles.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/lifecycles.py
@@ -12,7 +12,7 @@
 from queue import SimpleQueue
 
 from limpethollow_node.process import events
-from limpethollow_node.process.members import MemberKeeper
+from limpethollow_node.process.members import MembershipTracker
 from limpethollow_policy.process.shutdowns import (
     ABORT_RESERVE_SECONDS,
     FORCED_EXIT_SECONDS,
@@ -211,7 +211,7 @@
         members: Known instances.
     """
 
-    def __init__(self, members: MemberKeeper) -> None:
+    def __init__(self, members: MembershipTracker) -> None:
         self._members = members
         self._route_holds = RouteHoldTracker()
         self._lock = threading.Lock()
--- a/packages/limpethollow-node/src/limpethollow_node/process/links.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/links.py
@@ -8,7 +8,7 @@
 
 from limpethollow_node.connection.peers import PeerLink, PeerLost, PeerUnreachable
 from limpethollow_node.process import events
-from limpethollow_node.process.members import MemberKeeper
+from limpethollow_node.process.members import MembershipTracker
 from limpethollow_node.process.metrics import Metrics
 from limpethollow_policy.connection.links import DialBackoff
 from limpethollow_wire.codecs import convert
@@ -40,7 +40,7 @@
 
     def __init__(
         self,
-        members: MemberKeeper,
+        members: MembershipTracker,
         key: str,
         hello: Callable[[], Hello],
         rng: Random,
@@ -150,13 +150,13 @@
         backoff.succeeded()
         return link
 
-    def greeted(self, hello: Hello) -> None:
+    def hello_received(self, hello: Hello) -> None:
         """Record the hello of a peer that opened a link to this instance."""
-        self._members.greeted(hello)
+        self._members.hello_received(hello)
 
     def _dialled_hello_received(self, hello: Hello) -> None:
         """Record the hello of the process at a dialled address, which is the peer's current run."""
-        self._members.greeted(hello, dialled=True)
+        self._members.hello_received(hello, dialled=True)
 
     def _discard_link(self, peer_id: str, link: PeerLink) -> None:
         """Stop using a link, as it may stay unresponsive while a new one would work.
--- a/packages/limpethollow-node/src/limpethollow_node/process/main.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/main.py
@@ -5,8 +5,8 @@
 import signal
 import sys
 
-from limpethollow_node.process.logs import start_logs
 from limpethollow_node.process.node import Node
+from limpethollow_node.process.stderrlogs import configure_logging
 from limpethollow_wire.exceptions import SettingsError
 from limpethollow_wire.settings import NodeSettings
 
@@ -30,7 +30,7 @@
         return EXIT_SETTINGS
     if options.check:
         return EXIT_OK
-    start_logs(settings.log.level, settings.instance.id)
+    configure_logging(settings.log.level, settings.instance.id)
     return _serve(settings)
 
 
--- a/packages/limpethollow-node/src/limpethollow_node/process/members.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/members.py
@@ -19,7 +19,7 @@
 _IDLE_POLL_SECONDS = 0.5
 
 
-class MemberKeeper:
+class MembershipTracker:
     """Thread-safe membership view that also watches the platform's list of instances.
 
     Only some instances watch the platform; see `should_watch`.
@@ -47,7 +47,7 @@
         self._stopped = threading.Event()
         self._thread = threading.Thread(target=self._watch_platform, name="members", daemon=True)
 
-    def __enter__(self) -> "MemberKeeper":
+    def __enter__(self) -> "MembershipTracker":
         self._thread.start()
         return self
 
@@ -75,7 +75,9 @@
         """Call a function whenever the list changes."""
         self._listeners.append(listener)
 
-    def listen_for_searchers(self, listener: Callable[[tuple[SearcherListing, ...]], None]) -> None:
+    def add_searcher_listener(
+        self, listener: Callable[[tuple[SearcherListing, ...]], None]
+    ) -> None:
         """Call a function with the searchers of each list that this instance reads itself."""
         self._searcher_listeners.append(listener)
 
@@ -97,11 +99,11 @@
         with self._lock:
             return self._view.changes_since(revision)
 
-    def greeted(self, hello: Hello, dialled: bool = False) -> None:
+    def hello_received(self, hello: Hello, dialled: bool = False) -> None:
         """Record the hello of an instance."""
         now = time.monotonic()
         with self._lock:
-            self._view.greeted(hello, now, dialled)
+            self._view.hello_received(hello, now, dialled)
             if self._view.incarnation(hello.instance) == hello.incarnation:
                 self._started_at[hello.instance] = (hello.incarnation, now - hello.age)
 
@@ -153,12 +155,12 @@
         """Return the state of every known instance."""
         now = time.monotonic()
         with self._lock:
-            return {i.id: self._view.state(i.id, now) for i in self._view.everyone(now)}
+            return {i.id: self._view.state(i.id, now) for i in self._view.all_instances(now)}
 
-    def everyone(self) -> tuple[InstanceInfo, ...]:
+    def all_instances(self) -> tuple[InstanceInfo, ...]:
         """Return all known instances."""
         with self._lock:
-            return self._view.everyone(time.monotonic())
+            return self._view.all_instances(time.monotonic())
 
     def peers(self) -> tuple[InstanceInfo, ...]:
         """Return all known instances except this one."""
--- a/packages/limpethollow-node/src/limpethollow_node/process/node.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/node.py
@@ -13,10 +13,10 @@
 from limpethollow_node.process.groups import LocalGroups
 from limpethollow_node.process.lifecycles import Lifecycle, RouteSelector, ShutdownHooks
 from limpethollow_node.process.links import PeerLinks
-from limpethollow_node.process.members import MemberKeeper
+from limpethollow_node.process.members import MembershipTracker
 from limpethollow_node.process.metrics import Metrics
+from limpethollow_node.process.peersync import PeerSync
 from limpethollow_node.process.platforms import PlatformClient
-from limpethollow_node.process.relays import PeerSync
 from limpethollow_node.process.timers import Timers
 from limpethollow_node.request import callers, operators
 from limpethollow_node.request import configs as _config_requests  # noqa: F401 - registers handlers
@@ -115,7 +115,7 @@
         keys, listener_settings = settings.keys, settings.listeners
         platform = PlatformClient(settings.platform, metrics)
         timers = Timers()
-        self._members = MemberKeeper(
+        self._members = MembershipTracker(
             self._id, settings.instance.failure_domain, platform, self._rng
         )
         self._routes = RouteSelector(self._members)
@@ -154,7 +154,7 @@
         )
         drains = DrainNotifier(self._members, self._configs, self._links, groups, metrics)
         groups.add_drain_listener(drains.heard)
-        self._members.listen_for_searchers(drains.listed)
+        self._members.add_searcher_listener(drains.listed)
         caller_context = CallerContext(
             self._id,
             self._incarnation,
@@ -174,7 +174,7 @@
             listener_settings.peer_port,
             keys.peer,
             self._hello,
-            self._links.greeted,
+            self._links.hello_received,
             lambda peer, kind, body: answer_peer(peers, kind, body),
             metrics,
         )
--- a/packages/limpethollow-node/src/limpethollow_node/process/relays.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/peersync.py
@@ -11,7 +11,7 @@
 from limpethollow_node.process import events
 from limpethollow_node.process.configs import ConfigManager
 from limpethollow_node.process.links import PeerLinks
-from limpethollow_node.process.members import MemberKeeper
+from limpethollow_node.process.members import MembershipTracker
 from limpethollow_node.process.metrics import Metrics
 from limpethollow_policy.process.relays import GossipPartnerSelector
 from limpethollow_wire.codecs import convert
@@ -59,7 +59,7 @@
     def __init__(
         self,
         configs: ConfigManager,
-        members: MemberKeeper,
+        members: MembershipTracker,
         links: PeerLinks,
         metrics: Metrics,
         seeds: tuple[str, ...],
@@ -100,16 +100,16 @@
         self._peer_pool.shutdown(wait=False, cancel_futures=True)
         self._spread_pool.shutdown(wait=False, cancel_futures=True)
 
-    def compared(self, peer_state: SyncState) -> SyncState:
+    def handle_comparison(self, peer_state: SyncState) -> SyncState:
         """Handle a peer's comparison; the peer then exchanges the missing records of both sides."""
         self._members.asked(peer_state.instance, peer_state.relay)
         return self._configs.state()
 
-    def offered(self, digest: VersionDigest) -> ServiceNames:
+    def handle_offer(self, digest: VersionDigest) -> ServiceNames:
         """Handle a peer's offer; return the names of offered records newer than the local ones."""
         return ServiceNames(self._configs.lacking(digest.versions))
 
-    def spread_here(self, record: ServiceRecord) -> SpreadReply:
+    def spread_in_domain(self, record: ServiceRecord) -> SpreadReply:
         """As a relay, send a record to this failure domain; return the instances that have it."""
         self._configs.merge((record,))
         followers = self._members.followers()
@@ -128,7 +128,7 @@
         Returns:
             The instances that have this record, or a newer one, in force.
         """
-        domains = {i.failure_domain for i in self._members.everyone()}
+        domains = {i.failure_domain for i in self._members.all_instances()}
         spreads = [
             self._spread_pool.submit(self._spread_to_domain, domain, record) for domain in domains
         ]
@@ -136,7 +136,7 @@
         done = [each.result() for each in spreads if each.done() and not each.exception()]
         return set().union(*done) | {self._members.own_id}
 
-    def offer_each(self, instance_ids: Iterable[str], record: ServiceRecord) -> set[str]:
+    def offer_directly(self, instance_ids: Iterable[str], record: ServiceRecord) -> set[str]:
         """Send a record directly to some instances; return those that have it in force."""
         offers = {
             i: self._spread_pool.submit(self._offer_records, i, (record,)) for i in instance_ids
@@ -147,7 +147,7 @@
     def _spread_to_domain(self, domain: str, record: ServiceRecord) -> tuple[str, ...]:
         for relay in self._members.relays(domain):
             if relay == self._members.own_id:
-                return self.spread_here(record).in_force
+                return self.spread_in_domain(record).in_force
             try:
                 body = SpreadRequest(record)
                 return self._links.request(
@@ -281,7 +281,7 @@
         """Fetch the list from a seed address, whose instance id is not known yet."""
         link = None
         try:
-            link = PeerLink(address, self._key, self._hello(), self._members.greeted)
+            link = PeerLink(address, self._key, self._hello(), self._members.hello_received)
             body = link.request("members.pull", InstanceListRequest(-1), _PEER_TIMEOUT_SECONDS)
             self._members.listed(convert(body, InstanceListUpdate))
         except LimpethollowError as error:
--- a/packages/limpethollow-node/src/limpethollow_node/process/logs.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/stderrlogs.py
@@ -8,7 +8,7 @@
 _LINE_FORMAT = "%(asctime)s %(levelname)s %(name)s %(message)s"
 
 
-def start_logs(level: str, instance: str) -> None:
+def configure_logging(level: str, instance: str) -> None:
     """Write log records to standard error as JSON lines.
 
     Args:
--- a/packages/limpethollow-node/src/limpethollow_node/process/stdoutlogs.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/stdoutlogs.py
@@ -12,7 +12,7 @@
 
 # Limit of the buffer for a slow or stopped reader of standard output. When it is full, new lines
 # are dropped and old ones kept, since the first lines show how a problem started.
-MAX_WAITING_BYTES = 1024 * 1024
+MAX_BUFFERED_BYTES = 1024 * 1024
 _LINE_FORMAT = "%(asctime)s %(levelname)s %(message)s"
 _STDOUT_DESCRIPTOR = 1
 
@@ -44,7 +44,7 @@
         if not is_error and not self._budget.allow(event, time.monotonic()):
             return
         line = self.format(record).encode() + b"\n"
-        if self._buffered_bytes + len(line) > MAX_WAITING_BYTES:
+        if self._buffered_bytes + len(line) > MAX_BUFFERED_BYTES:
             self._dropped += 1
             return
         self._buffer.append(line)
@@ -80,7 +80,7 @@
             events.LINES_SUPPRESSED.log(by_event=lines, dropped=dropped)
 
 
-def start_stdout_logs(instance: str) -> StdoutHandler:
+def configure_stdout_logging(instance: str) -> StdoutHandler:
     """Write log records to standard output as JSON lines.
 
     Args:
--- a/packages/limpethollow-node/src/limpethollow_node/request/callers.py
+++ b/packages/limpethollow-node/src/limpethollow_node/request/callers.py
@@ -7,7 +7,7 @@
 from limpethollow_node.connection.routes import HttpReply, HttpRequest, Routes
 from limpethollow_node.process.configs import ConfigManager
 from limpethollow_node.process.lifecycles import RouteSelector
-from limpethollow_node.process.members import MemberKeeper
+from limpethollow_node.process.members import MembershipTracker
 from limpethollow_node.request.bookings import BookingExecutor
 from limpethollow_node.request.searches import Coordinator
 from limpethollow_policy.process.owners import group_key, owner_order
@@ -30,7 +30,7 @@
     own_id: str
     incarnation: str
     configs: ConfigManager
-    members: MemberKeeper
+    members: MembershipTracker
     routes: RouteSelector
     coordinator: Coordinator
     hang_ups: HangUpWatch
--- a/packages/limpethollow-node/src/limpethollow_node/request/configs.py
+++ b/packages/limpethollow-node/src/limpethollow_node/request/configs.py
@@ -23,7 +23,7 @@
 
 @peer_request("sync.compare", SyncState)
 def _compare(context: PeerContext, body: SyncState) -> Any:
-    return context.sync.compared(body)
+    return context.sync.handle_comparison(body)
 
 
 @peer_request("sync.digest", BucketHashes)
@@ -38,7 +38,7 @@
 
 @peer_request("sync.offer", VersionDigest)
 def _offer(context: PeerContext, body: VersionDigest) -> Any:
-    return context.sync.offered(body)
+    return context.sync.handle_offer(body)
 
 
 @peer_request("members.pull", InstanceListRequest)
@@ -54,4 +54,4 @@
 
 @peer_request("relay.spread", SpreadRequest)
 def _spread(context: PeerContext, body: SpreadRequest) -> Any:
-    return context.sync.spread_here(body.record)
+    return context.sync.spread_in_domain(body.record)
--- a/packages/limpethollow-node/src/limpethollow_node/request/operators.py
+++ b/packages/limpethollow-node/src/limpethollow_node/request/operators.py
@@ -5,7 +5,7 @@
 
 from limpethollow_node.connection.routes import Handler, HttpReply, HttpRequest, Routes
 from limpethollow_node.process.configs import ConfigManager
-from limpethollow_node.process.members import MemberKeeper
+from limpethollow_node.process.members import MembershipTracker
 from limpethollow_node.process.metrics import Metrics
 from limpethollow_node.version.planners import Planner
 from limpethollow_wire.exceptions import Unauthorized
@@ -22,7 +22,7 @@
 
     key: str
     configs: ConfigManager
-    members: MemberKeeper
+    members: MembershipTracker
     planner: Planner
     metrics: Metrics
     status: Callable[[], InstanceStatus]
@@ -68,7 +68,7 @@
             "failure_domain": instance.failure_domain,
             "incarnation": context.members.incarnation(instance.id),
         }
-        for instance in context.members.everyone()
+        for instance in context.members.all_instances()
     ]
     return HttpReply({"instances": sorted(rows, key=lambda row: row["id"])})
 
--- a/packages/limpethollow-node/src/limpethollow_node/request/owners.py
+++ b/packages/limpethollow-node/src/limpethollow_node/request/owners.py
@@ -11,7 +11,7 @@
 from limpethollow_node.process import events
 from limpethollow_node.process.configs import ConfigManager
 from limpethollow_node.process.links import PeerLinks
-from limpethollow_node.process.members import MemberKeeper
+from limpethollow_node.process.members import MembershipTracker
 from limpethollow_node.process.metrics import Metrics
 from limpethollow_node.request.parts import GRACE_SECONDS, GroupParts
 from limpethollow_policy.process.dispatches import find_dispatch_policy
@@ -60,7 +60,7 @@
         self,
         own_id: str,
         configs: ConfigManager,
-        members: MemberKeeper,
+        members: MembershipTracker,
         links: PeerLinks,
         parts: GroupParts,
         metrics: Metrics,
--- a/packages/limpethollow-node/src/limpethollow_node/request/peers.py
+++ b/packages/limpethollow-node/src/limpethollow_node/request/peers.py
@@ -7,8 +7,8 @@
 from limpethollow_node.process.configs import ConfigManager
 from limpethollow_node.process.groups import LocalGroups
 from limpethollow_node.process.lifecycles import RouteSelector
-from limpethollow_node.process.members import MemberKeeper
-from limpethollow_node.process.relays import PeerSync
+from limpethollow_node.process.members import MembershipTracker
+from limpethollow_node.process.peersync import PeerSync
 from limpethollow_node.request.bookings import BookingExecutor
 from limpethollow_node.request.searches import Coordinator
 from limpethollow_wire.bookings import ForwardedBooking, OutcomeRequest
@@ -40,7 +40,7 @@
     """What the peers' handlers use."""
 
     configs: ConfigManager
-    members: MemberKeeper
+    members: MembershipTracker
     routes: RouteSelector
     coordinator: Coordinator
     bookings: BookingExecutor
@@ -111,7 +111,7 @@
 
 @peer_request("instance.hello", Hello)
 def _hello(context: PeerContext, body: Hello) -> Any:
-    context.members.greeted(body)
+    context.members.hello_received(body)
     return Acknowledgement()
 
 
--- a/packages/limpethollow-node/src/limpethollow_node/request/searches.py
+++ b/packages/limpethollow-node/src/limpethollow_node/request/searches.py
@@ -13,7 +13,7 @@
 from limpethollow_node.process.configs import ConfigManager
 from limpethollow_node.process.groups import LocalGroups
 from limpethollow_node.process.links import PeerLinks
-from limpethollow_node.process.members import MemberKeeper
+from limpethollow_node.process.members import MembershipTracker
 from limpethollow_node.process.metrics import Metrics
 from limpethollow_node.request.owners import OwnerLinks
 from limpethollow_node.request.parts import RETRY_AFTER, GroupParts
@@ -98,7 +98,7 @@
         self,
         own_id: str,
         configs: ConfigManager,
-        members: MemberKeeper,
+        members: MembershipTracker,
         links: PeerLinks,
         groups: LocalGroups,
         metrics: Metrics,
--- a/packages/limpethollow-node/src/limpethollow_node/version/planners.py
+++ b/packages/limpethollow-node/src/limpethollow_node/version/planners.py
@@ -5,9 +5,9 @@
 
 from limpethollow_node.process import events
 from limpethollow_node.process.configs import SERVICE_KIND, ConfigManager, decode_record
-from limpethollow_node.process.members import MemberKeeper
+from limpethollow_node.process.members import MembershipTracker
+from limpethollow_node.process.peersync import PeerSync
 from limpethollow_node.process.platforms import PlatformClient, PlatformObject
-from limpethollow_node.process.relays import PeerSync
 from limpethollow_policy.process.backoffs import Backoff
 from limpethollow_policy.version.plans import (
     PLAN_SLOTS,
@@ -51,7 +51,7 @@
         self,
         platform: PlatformClient,
         configs: ConfigManager,
-        members: MemberKeeper,
+        members: MembershipTracker,
         sync: PeerSync,
         rng: Random,
     ) -> None:
@@ -217,7 +217,7 @@
         while True:
             lacking = self._lacking(in_force)
             if lacking:
-                in_force |= self._sync.offer_each(lacking[:_DIRECT_OFFERS], record)
+                in_force |= self._sync.offer_directly(lacking[:_DIRECT_OFFERS], record)
                 lacking = self._lacking(in_force)
             if not lacking or time.monotonic() >= until:
                 return tuple(sorted(in_force)), lacking
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/members.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/members.py
@@ -111,7 +111,7 @@
             dropped=tuple(i for i in changed_ids if i not in self._instances),
         )
 
-    def greeted(self, hello: Hello, now: float, dialled: bool = False) -> None:
+    def hello_received(self, hello: Hello, now: float, dialled: bool = False) -> None:
         """Record the hello of an instance, which includes its addresses.
 
         Args:
@@ -196,14 +196,14 @@
             return "unreachable"
         return "live"
 
-    def everyone(self, now: float) -> tuple[InstanceInfo, ...]:
+    def all_instances(self, now: float) -> tuple[InstanceInfo, ...]:
         """Return all listed instances, and unlisted ones that were heard from recently."""
         recently_heard = [u.info for u in self._unlisted.values() if self._is_heard(u, now)]
         return (*self._instances.values(), *recently_heard)
 
     def peers(self, now: float) -> tuple[InstanceInfo, ...]:
         """Return all instances except this one."""
-        return tuple(i for i in self.everyone(now) if i.id != self._own_id)
+        return tuple(i for i in self.all_instances(now) if i.id != self._own_id)
 
     def routable(self, now: float) -> tuple[InstanceInfo, ...]:
         """Return the instances to which callers may be directed.
@@ -211,7 +211,9 @@
         The result is cached until something changes, because every request needs it.
         """
         if self._routable is None or now >= self._routable_until:
-            self._routable = tuple(i for i in self.everyone(now) if self.state(i.id, now) == "live")
+            self._routable = tuple(
+                i for i in self.all_instances(now) if self.state(i.id, now) == "live"
+            )
             self._routable_until = self._next_timeout(now)
         return self._routable
 
@@ -248,7 +250,7 @@
         """Update the state of an instance whose list entry was added, changed or removed.
 
         The list may drop an instance by mistake. It stays in use while messages from it arrive; one
-        that has really ended sends none and is left out by `everyone`.
+        that has really ended sends none and is left out by `all_instances`.
         """
         if new is not None:
             self._unlisted.pop(new.id, None)
--- a/tests/system/lifecycle/test_peer_links.py
+++ b/tests/system/lifecycle/test_peer_links.py
@@ -35,7 +35,7 @@
     def get(self, peer_id: str) -> InstanceInfo:
         return self.info
 
-    def greeted(self, hello: Hello, dialled: bool = False) -> None:
+    def hello_received(self, hello: Hello, dialled: bool = False) -> None:
         assert hello.instance == "n0"
 
     def unreachable(self, peer_id: str) -> None:
--- a/tests/system/platform/test_start.py
+++ b/tests/system/platform/test_start.py
@@ -96,8 +96,8 @@
         system.backend("desk", "i-1")
         system.configure(1, forward_route("desk"))
         made = self.start_all(system)
-        everyone = [Instance(i.name, "", "", "zone-a") for i in made]
-        relay = next(iter(relays_among(everyone)))
+        all_instances = [Instance(i.name, "", "", "zone-a") for i in made]
+        relay = next(iter(relays_among(all_instances)))
         next(i for i in made if i.name == relay).kill()
         for instance in made:
             if instance.name != relay:
--- a/tests/unit/configuration/test_members.py
+++ b/tests/unit/configuration/test_members.py
@@ -99,7 +99,7 @@
 
     def test_an_instance_that_the_list_lacks_still_is_used_once_it_spoke(self):
         view = membership()
-        view.greeted(Hello("n9", "run", "lton-a", address="n9:1", peer_address="n9:2"), 1.0)
+        view.hello_received(Hello("n9", "run", "lton-a", address="n9:1", peer_address="n9:2"), 1.0)
         assert ids(view, 1.0) == {"me", "n9"}
         assert view.get("n9").peer_address == "n9:2"
 
--- a/tests/unit/engine/test_logs.py
+++ b/tests/unit/engine/test_logs.py
@@ -3,7 +3,7 @@
 import logging
 import os
 
-from limpethollow_node.process.stdoutlogs import MAX_WAITING_BYTES, StdoutHandler
+from limpethollow_node.process.stdoutlogs import MAX_BUFFERED_BYTES, StdoutHandler
 from limpethollow_policy.process.logbudgets import LogBudget
 
 
@@ -31,7 +31,7 @@
         handler = StdoutHandler(LogBudget(1e9, 1e9), writing)
         for _ in range(4000):
             handler.emit(self.record("x" * 1000))
-        assert handler._buffered_bytes <= MAX_WAITING_BYTES
+        assert handler._buffered_bytes <= MAX_BUFFERED_BYTES
         assert handler._dropped > 0
         os.set_blocking(reading, False)
         read = b""
--- a/tests/unit/engine/test_peers.py
+++ b/tests/unit/engine/test_peers.py
@@ -62,10 +62,10 @@
     """
 
     def __init__(self, own: int) -> None:
-        everyone = fleet()
-        self.roster = Roster(everyone[own], lambda: None)
+        all_instances = fleet()
+        self.roster = Roster(all_instances[own], lambda: None)
         self.roster.ready = True
-        role = WatchRole(everyone[own].name, Random(1))
+        role = WatchRole(all_instances[own].name, Random(1))
         self.peers = Peers(
             self.roster,
             FakeCatalog(),
@@ -75,10 +75,10 @@
             Quarantines(Metrics(), lambda: 0.0),
         )
         self.links: dict[str, FakeLink] = {}
-        for instance in everyone:
-            if instance.name != everyone[own].name:
+        for instance in all_instances:
+            if instance.name != all_instances[own].name:
                 self.roster.put(instance)
-                link = FakeLink(instance, everyone[own].failure_domain)
+                link = FakeLink(instance, all_instances[own].failure_domain)
                 self.links[instance.name] = self.peers._links[instance.name] = link
 
     def beat(self, times: int) -> None:
--- a/tests/unit/engine/test_roster.py
+++ b/tests/unit/engine/test_roster.py
@@ -65,11 +65,11 @@
 
         Of 76 instances 19 took callers, and each kept to a 76th of what all may repeat.
         """
-        everyone = [instance(f"i-{number}") for number in range(76)]
+        all_instances = [instance(f"i-{number}") for number in range(76)]
         parts = []
-        for own in everyone:
+        for own in all_instances:
             roster = Roster(own, lambda: None)
-            for other in everyone:
+            for other in all_instances:
                 roster.put(other)
             parts.append(1 / roster.share_divisor)
         assert abs(sum(parts) - 1.0) < 1e-9
--- a/tests/unit/engine/test_topology.py
+++ b/tests/unit/engine/test_topology.py
@@ -25,9 +25,9 @@
         assert len(found) == 4
 
     def test_the_loss_of_others_moves_no_relay(self):
-        everyone = instances(12)
-        relays = relays_among(everyone)
-        some = [i for i in everyone if i.name in relays or i.name in ("i-1", "i-2")]
+        all_instances = instances(12)
+        relays = relays_among(all_instances)
+        some = [i for i in all_instances if i.name in relays or i.name in ("i-1", "i-2")]
         assert relays_among(some) == relays
 
 
@@ -45,42 +45,44 @@
         assert len(relays_among(weak)) == 1
 
     def test_links_for_calls_go_to_strong_ones(self):
-        everyone = [replace(i, strength=0.2 if n % 2 else 1.0) for n, i in enumerate(instances(64))]
-        weak = {instance.name for instance in everyone if instance.strength < 0.5}
-        domains = {i.failure_domain for i in everyone if i.name not in weak}
-        for own in everyone:
-            far = link_targets(own, everyone) & weak
-            assert all(i.failure_domain not in domains for i in everyone if i.name in far)
+        all_instances = [
+            replace(i, strength=0.2 if n % 2 else 1.0) for n, i in enumerate(instances(64))
+        ]
+        weak = {instance.name for instance in all_instances if instance.strength < 0.5}
+        domains = {i.failure_domain for i in all_instances if i.name not in weak}
+        for own in all_instances:
+            far = link_targets(own, all_instances) & weak
+            assert all(i.failure_domain not in domains for i in all_instances if i.name in far)
 
 
 class TestLinks:
     def test_few_instances_link_to_all(self):
-        everyone = instances(FULL_MESH_SIZE)
-        assert len(link_targets(everyone[0], everyone)) == FULL_MESH_SIZE - 1
+        all_instances = instances(FULL_MESH_SIZE)
+        assert len(link_targets(all_instances[0], all_instances)) == FULL_MESH_SIZE - 1
 
     def test_many_link_to_relays_and_a_few_in_each_failure_domain(self):
-        everyone = instances(400)
-        for own in everyone[:20]:
-            links = link_targets(own, everyone)
-            assert relays_among(everyone) - {own.name} <= links
-            domains = {i.failure_domain for i in everyone if i.name in links}
+        all_instances = instances(400)
+        for own in all_instances[:20]:
+            links = link_targets(own, all_instances)
+            assert relays_among(all_instances) - {own.name} <= links
+            domains = {i.failure_domain for i in all_instances if i.name in links}
             assert len(domains) == 4
             assert len(links) <= 12
 
 
 class TestWatchRole:
     def test_a_relay_watches_and_others_only_without_a_relay(self):
-        everyone = instances(4, domains=1)
-        relay = next(iter(relays_among(everyone)))
-        other = next(i.name for i in everyone if i.name != relay)
-        assert WatchRole(relay, Random(1)).should_watch(everyone, 0.0)
+        all_instances = instances(4, domains=1)
+        relay = next(iter(relays_among(all_instances)))
+        other = next(i.name for i in all_instances if i.name != relay)
+        assert WatchRole(relay, Random(1)).should_watch(all_instances, 0.0)
         role = WatchRole(other, Random(1))
-        assert not role.should_watch(everyone, 0.0)
-        assert role.should_watch(everyone, 0.31 + START_RELAY_WAIT_SECONDS)
+        assert not role.should_watch(all_instances, 0.0)
+        assert role.should_watch(all_instances, 0.31 + START_RELAY_WAIT_SECONDS)
         role.relay_message_received(relay, 10.0)
-        assert not role.should_watch(everyone, 10.0 + RELAY_HEARTBEAT_TIMEOUT)
-        role.should_watch(everyone, 10.01 + RELAY_HEARTBEAT_TIMEOUT)
-        assert role.should_watch(everyone, 10.5 + RELAY_HEARTBEAT_TIMEOUT)
+        assert not role.should_watch(all_instances, 10.0 + RELAY_HEARTBEAT_TIMEOUT)
+        role.should_watch(all_instances, 10.01 + RELAY_HEARTBEAT_TIMEOUT)
+        assert role.should_watch(all_instances, 10.5 + RELAY_HEARTBEAT_TIMEOUT)
 
     def test_a_start_of_all_is_followed_by_the_relays_alone(self):
         """195 instances started, and the store got 14 calls from each within a second.
@@ -88,28 +90,28 @@
         Nobody had heard a relay yet, so all watched the store, and each instance that registered
         woke all of these watches.
         """
-        everyone = instances(195, domains=6)
-        roles = [WatchRole(instance.name, Random(n)) for n, instance in enumerate(everyone)]
-        relays = relays_among(everyone)
+        all_instances = instances(195, domains=6)
+        roles = [WatchRole(instance.name, Random(n)) for n, instance in enumerate(all_instances)]
+        relays = relays_among(all_instances)
         watching = 0
         for tick in range(6):
             now = 0.25 * tick
-            watching = sum(role.should_watch(everyone, now) for role in roles)
+            watching = sum(role.should_watch(all_instances, now) for role in roles)
             assert watching == len(relays)
         for role in roles:
             role.relay_message_received(next(iter(relays)), 1.5)
-        assert sum(role.should_watch(everyone, 2.5) for role in roles) == len(relays)
+        assert sum(role.should_watch(all_instances, 2.5) for role in roles) == len(relays)
 
     def test_a_start_with_all_relays_gone_is_followed_by_others_within_the_bound(self):
         """A new route was missing: the instances named as relays had not come back after a start.
 
         A change must be in force everywhere 3 s after the store has it.
         """
-        everyone = instances(8, domains=2)
-        other = next(i.name for i in everyone if i.name not in relays_among(everyone))
+        all_instances = instances(8, domains=2)
+        other = next(i.name for i in all_instances if i.name not in relays_among(all_instances))
         role = WatchRole(other, Random(1))
-        role.should_watch(everyone, 5.0)
-        assert role.should_watch(everyone, 5.0 + 2.5)
+        role.should_watch(all_instances, 5.0)
+        assert role.should_watch(all_instances, 5.0 + 2.5)
 
     def test_relays_that_say_they_lost_the_store_are_replaced_in_half_a_second(self):
         """A new route was not in force after 3 s.
@@ -117,17 +119,17 @@
         The store turned away just the instances that watched it for the others. They said so, but
         the others went on waiting for them to fall silent.
         """
-        everyone = instances(8, domains=2)
-        relays = relays_among(everyone)
-        other = next(i.name for i in everyone if i.name not in relays)
+        all_instances = instances(8, domains=2)
+        relays = relays_among(all_instances)
+        other = next(i.name for i in all_instances if i.name not in relays)
         role = WatchRole(other, Random(1))
         for relay in relays:
             role.relay_message_received(relay, 10.0)
         first, second = sorted(relays)
         role.relay_stopped(first, 10.1)
-        assert not role.should_watch(everyone, 10.6)
+        assert not role.should_watch(all_instances, 10.6)
         role.relay_stopped(second, 10.6)
-        assert role.should_watch(everyone, 11.0)
+        assert role.should_watch(all_instances, 11.0)
 
 
 class TestParts:
