--- a/packages/limpethollow-node/src/limpethollow_node/connection/peer_listeners.py
+++ b/packages/limpethollow-node/src/limpethollow_node/connection/peer_listeners.py
@@ -21,7 +21,7 @@
     Overloaded,
     Unauthorized,
 )
-from limpethollow_wire.keys import bearer_key, keys_equal
+from limpethollow_wire.keys import keys_equal, parse_bearer_key
 from limpethollow_wire.limits import MAX_FRAME_BYTES
 from limpethollow_wire.peers import Frame, Hello
 
@@ -44,7 +44,7 @@
         port: Port, 0 for a free one.
         key: The peers' shared key.
         hello: Returns who we are, current at each new link.
-        greeted: Told of each peer's hello.
+        hello_received: Told of each peer's hello.
         answer: Called with peer id, kind and plain body; returns the reply's message.
         metrics: Where refusals are counted.
     """
@@ -55,13 +55,13 @@
         port: int,
         key: str,
         hello: Callable[[], Hello],
-        greeted: Callable[[Hello], None],
+        hello_received: Callable[[Hello], None],
         answer: Answer,
         metrics: Metrics,
     ) -> None:
         self._key = key
         self._hello = hello
-        self._greeted = greeted
+        self._greeted = hello_received
         self._answer = answer
         self._metrics = metrics
         self._workers = ThreadPoolExecutor(_WORKERS, thread_name_prefix="peer-request")
@@ -106,7 +106,7 @@
 
     def _check_key(self, connection: ServerConnection, request: Request) -> Response | None:
         try:
-            given = bearer_key(request.headers.get("Authorization"))
+            given = parse_bearer_key(request.headers.get("Authorization"))
         except Unauthorized:
             given = ""
         if keys_equal(given, self._key):
@@ -170,7 +170,7 @@
         except LimpethollowError as error:
             reply = Frame(frame.id, error=error.to_body())
         except Exception as error:
-            events.DEFECT.log(
+            events.UNEXPECTED_ERROR.log(
                 where="peer request", kind=frame.kind, error=repr(error), exc_info=True
             )
             reply = Frame(frame.id, error=InternalError("The peer has a defect.").to_body())
--- a/packages/limpethollow-node/src/limpethollow_node/platform/doors.py
+++ b/packages/limpethollow-node/src/limpethollow_node/platform/callerlisteners.py
@@ -1,4 +1,4 @@
-"""The listeners on which callers connect."""
+"""Listening sockets for callers' connections."""
 
 import socket
 from dataclasses import dataclass
@@ -8,23 +8,23 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Doors:
-    """Bound listeners whose callers wait until the process takes them.
+class CallerListeners:
+    """Bound listeners; connections wait in the accept queue until the process serves them.
 
     Attributes:
-        front: Takes callers' requests.
-        directory: Takes the question where to connect.
+        front: Listener for callers' requests.
+        directory: Listener for requests to `/resolve`.
     """
 
     front: socket.socket
     directory: socket.socket
 
     @classmethod
-    def open(cls, listen: Listen) -> "Doors":
-        """Bind both.
+    def open(cls, listen: Listen) -> "CallerListeners":
+        """Bind both listeners.
 
         Raises:
-            OSError: One can't be bound.
+            OSError: A listener can't be bound.
         """
         front = open_listener(*split_address(listen.front))
         try:
--- a/packages/limpethollow-node/src/limpethollow_node/request/operators.py
+++ b/packages/limpethollow-node/src/limpethollow_node/request/operators.py
@@ -4,13 +4,13 @@
 from dataclasses import dataclass
 
 from limpethollow_node.connection.routes import Handler, HttpReply, HttpRequest, Routes
-from limpethollow_node.process.configs import ConfigKeeper
-from limpethollow_node.process.members import MemberKeeper
+from limpethollow_node.process.configs import ConfigManager
+from limpethollow_node.process.members import MembershipTracker
 from limpethollow_node.process.metrics import Metrics
 from limpethollow_node.version.planners import Planner
 from limpethollow_wire.exceptions import Unauthorized
 from limpethollow_wire.instances import InstanceStatus
-from limpethollow_wire.keys import bearer_key, keys_equal
+from limpethollow_wire.keys import keys_equal, parse_bearer_key
 from limpethollow_wire.plans import ConfirmRequest, Intent
 
 ROUTES = Routes()
@@ -21,8 +21,8 @@
     """What the operators' handlers use."""
 
     key: str
-    configs: ConfigKeeper
-    members: MemberKeeper
+    configs: ConfigManager
+    members: MembershipTracker
     planner: Planner
     metrics: Metrics
     status: Callable[[], InstanceStatus]
@@ -34,7 +34,7 @@
     def register(handler: Handler) -> Handler:
         @ROUTES.add(method, pattern)
         def guarded(context: OperatorContext, request: HttpRequest) -> HttpReply:
-            if not keys_equal(bearer_key(request.authorization), context.key):
+            if not keys_equal(parse_bearer_key(request.authorization), context.key):
                 raise Unauthorized("The operators' key is wrong.")
             return handler(context, request)
 
@@ -68,7 +68,7 @@
             "failure_domain": instance.failure_domain,
             "incarnation": context.members.incarnation(instance.id),
         }
-        for instance in context.members.everyone()
+        for instance in context.members.all_instances()
     ]
     return HttpReply({"instances": sorted(rows, key=lambda row: row["id"])})
 
--- a/packages/limpethollow-node/src/limpethollow_node/request/searches.py
+++ b/packages/limpethollow-node/src/limpethollow_node/request/searches.py
@@ -10,10 +10,10 @@
 
 from limpethollow_node.connection.hangups import WaitingCaller
 from limpethollow_node.connection.peers import require_time
-from limpethollow_node.process.configs import ConfigKeeper
+from limpethollow_node.process.configs import ConfigManager
 from limpethollow_node.process.groups import LocalGroups
 from limpethollow_node.process.links import PeerLinks
-from limpethollow_node.process.members import MemberKeeper
+from limpethollow_node.process.members import MembershipTracker
 from limpethollow_node.process.metrics import Metrics
 from limpethollow_node.request.owners import OwnerLinks
 from limpethollow_node.request.parts import RETRY_AFTER, GroupParts
@@ -30,7 +30,7 @@
 from limpethollow_wire.searches import (
     GroupAnswer,
     GroupSearch,
-    GroupVersions,
+    GroupVersionsRequest,
     SearchAnswer,
     SearchRequest,
     ServableVersions,
@@ -97,8 +97,8 @@
     def __init__(
         self,
         own_id: str,
-        configs: ConfigKeeper,
-        members: MemberKeeper,
+        configs: ConfigManager,
+        members: MembershipTracker,
         links: PeerLinks,
         groups: LocalGroups,
         metrics: Metrics,
@@ -195,7 +195,7 @@
         """Ask every group which index versions it can serve."""
 
         def ask(index: int) -> ServableVersions:
-            body = GroupVersions(
+            body = GroupVersionsRequest(
                 service=scatter.record.name,
                 spec_version=scatter.record.version,
                 group=index,
--- a/packages/limpethollow-node/src/limpethollow_node/version/planners.py
+++ b/packages/limpethollow-node/src/limpethollow_node/version/planners.py
@@ -4,10 +4,10 @@
 from random import Random
 
 from limpethollow_node.process import events
-from limpethollow_node.process.configs import SERVICE_KIND, ConfigKeeper, record_of
-from limpethollow_node.process.members import MemberKeeper
+from limpethollow_node.process.configs import SERVICE_KIND, ConfigManager, decode_record
+from limpethollow_node.process.members import MembershipTracker
+from limpethollow_node.process.peersync import PeerSync
 from limpethollow_node.process.platforms import PlatformClient, PlatformObject
-from limpethollow_node.process.relays import PeerSync
 from limpethollow_policy.process.backoffs import Backoff
 from limpethollow_policy.version.plans import (
     PLAN_SLOTS,
@@ -24,7 +24,7 @@
 from limpethollow_wire.exceptions import BadRequest, Conflict, NotFound, Unavailable
 from limpethollow_wire.plans import Confirmation, Intent, Plan
 from limpethollow_wire.services import ServiceRecord
-from limpethollow_wire.versions import version_text
+from limpethollow_wire.versions import format_version
 
 PLAN_KIND = "plan"
 MAX_WAIT_SECONDS = 60.0
@@ -50,8 +50,8 @@
     def __init__(
         self,
         platform: PlatformClient,
-        configs: ConfigKeeper,
-        members: MemberKeeper,
+        configs: ConfigManager,
+        members: MembershipTracker,
         sync: PeerSync,
         rng: Random,
     ) -> None:
@@ -70,11 +70,11 @@
         """
         service = intent_service_name(intent)
         stored = self._stored(service)
-        current = record_of(stored) if stored else None
+        current = decode_record(stored) if stored else None
         name, version = self._free_slot(service, current.version if current else 0)
         plan = make_plan(str(name), intent, current)
         self._keep(name, plan, version)
-        events.PLAN_MADE.log(plan=plan.id, service=plan.service, action=plan.action)
+        events.PLAN_CREATED.log(plan=plan.id, service=plan.service, action=plan.action)
         return plan
 
     def confirm(self, plan_id: str, wait: float) -> Confirmation:
@@ -165,7 +165,7 @@
         service = StoredService(stored.version, stored.value) if stored else StoredService(0, {})
         written = service.version_of(str(name))
         if written and stored:
-            return record_of(stored), written
+            return decode_record(stored), written
         plan = self._plan(name)
         match judge(plan, service):
             case Verdict.NOTHING:
@@ -178,7 +178,7 @@
         except Conflict:
             # Ours after a lost reply, or somebody else's in between: reading again tells.
             raise Unavailable("The service was changed while the plan was confirmed.") from None
-        return record_of(written_now), written_now.version
+        return decode_record(written_now), written_now.version
 
     def _plan(self, name: PlanName) -> Plan:
         plan = convert(self._platform.read(PLAN_KIND, name.slot_name).value, Plan)
@@ -192,8 +192,8 @@
     def _refuse(self, plan: Plan, version: int) -> None:
         events.PLAN_CONFLICT.log(plan=plan.id, service=plan.service)
         raise Conflict(
-            f"Service '{plan.service}' is at version {version_text(version)}; the plan was made "
-            f"against version {version_text(plan.base_version)}."
+            f"Service '{plan.service}' is at version {format_version(version)}; the plan was made "
+            f"against version {format_version(plan.base_version)}."
         )
 
     def _pause_or_raise(self, attempt: int, backoff: Backoff, error: Unavailable) -> None:
@@ -217,7 +217,7 @@
         while True:
             lacking = self._lacking(in_force)
             if lacking:
-                in_force |= self._sync.offer_each(lacking[:_DIRECT_OFFERS], record)
+                in_force |= self._sync.offer_directly(lacking[:_DIRECT_OFFERS], record)
                 lacking = self._lacking(in_force)
             if not lacking or time.monotonic() >= until:
                 return tuple(sorted(in_force)), lacking
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/members.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/members.py
@@ -5,7 +5,7 @@
 
 from limpethollow_policy.process.shutdowns import LEAVING_STATES
 from limpethollow_wire.instances import InstanceInfo
-from limpethollow_wire.peers import Hello, ListChange
+from limpethollow_wire.peers import Hello, InstanceListUpdate
 
 WHOLE_LIST = -1
 
@@ -79,7 +79,7 @@
         """Whether any other instance is known."""
         return bool(self._unlisted) or bool(self._instances.keys() - {self._own_id})
 
-    def listed(self, change: ListChange, now: float) -> bool:
+    def listed(self, change: InstanceListUpdate, now: float) -> bool:
         """Apply the full list or a change of it, if its revision is higher.
 
         Returns:
@@ -98,20 +98,20 @@
         self._routable = None
         return True
 
-    def changes_since(self, revision: int) -> ListChange:
+    def changes_since(self, revision: int) -> InstanceListUpdate:
         """Return the changes after a revision, or the full list if they are not known."""
         known = [r for r, _ in self._changes]
         if revision == WHOLE_LIST or revision not in known:
-            return ListChange(WHOLE_LIST, self._revision, tuple(self._instances.values()))
+            return InstanceListUpdate(WHOLE_LIST, self._revision, tuple(self._instances.values()))
         changed_ids = {i for r, ids in self._changes if r > revision for i in ids}
-        return ListChange(
+        return InstanceListUpdate(
             base=revision,
             revision=self._revision,
             listed=tuple(self._instances[i] for i in changed_ids if i in self._instances),
             dropped=tuple(i for i in changed_ids if i not in self._instances),
         )
 
-    def greeted(self, hello: Hello, now: float, dialled: bool = False) -> None:
+    def hello_received(self, hello: Hello, now: float, dialled: bool = False) -> None:
         """Record the hello of an instance, which includes its addresses.
 
         Args:
@@ -196,14 +196,14 @@
             return "unreachable"
         return "live"
 
-    def everyone(self, now: float) -> tuple[InstanceInfo, ...]:
+    def all_instances(self, now: float) -> tuple[InstanceInfo, ...]:
         """Return all listed instances, and unlisted ones that were heard from recently."""
         recently_heard = [u.info for u in self._unlisted.values() if self._is_heard(u, now)]
         return (*self._instances.values(), *recently_heard)
 
     def peers(self, now: float) -> tuple[InstanceInfo, ...]:
         """Return all instances except this one."""
-        return tuple(i for i in self.everyone(now) if i.id != self._own_id)
+        return tuple(i for i in self.all_instances(now) if i.id != self._own_id)
 
     def routable(self, now: float) -> tuple[InstanceInfo, ...]:
         """Return the instances to which callers may be directed.
@@ -211,7 +211,9 @@
         The result is cached until something changes, because every request needs it.
         """
         if self._routable is None or now >= self._routable_until:
-            self._routable = tuple(i for i in self.everyone(now) if self.state(i.id, now) == "live")
+            self._routable = tuple(
+                i for i in self.all_instances(now) if self.state(i.id, now) == "live"
+            )
             self._routable_until = self._next_timeout(now)
         return self._routable
 
@@ -248,7 +250,7 @@
         """Update the state of an instance whose list entry was added, changed or removed.
 
         The list may drop an instance by mistake. It stays in use while messages from it arrive; one
-        that has really ended sends none and is left out by `everyone`.
+        that has really ended sends none and is left out by `all_instances`.
         """
         if new is not None:
             self._unlisted.pop(new.id, None)
--- a/tests/system/platform/test_start.py
+++ b/tests/system/platform/test_start.py
@@ -50,7 +50,7 @@
     def test_the_listeners_are_bound_before_the_program_is_loaded(self):
         loaded = "import sys, limpethollow_node.platform.main; print(*sys.modules)"
         modules = subprocess.check_output([sys.executable, "-c", loaded], text=True).split()
-        assert "limpethollow_node.platform.doors" in modules
+        assert "limpethollow_node.platform.callerlisteners" in modules
         assert not {"asyncio", "websockets", "limpethollow_node.platform.process"} & set(modules)
 
     def test_without_a_configuration_the_refusal_comes_at_once(self, system):
@@ -96,8 +96,8 @@
         system.backend("desk", "i-1")
         system.configure(1, forward_route("desk"))
         made = self.start_all(system)
-        everyone = [Instance(i.name, "", "", "zone-a") for i in made]
-        relay = next(iter(relays_among(everyone)))
+        all_instances = [Instance(i.name, "", "", "zone-a") for i in made]
+        relay = next(iter(relays_among(all_instances)))
         next(i for i in made if i.name == relay).kill()
         for instance in made:
             if instance.name != relay:
