--- a/packages/limpethollow-node/src/limpethollow_node/engine/messages.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/messages.py
@@ -102,7 +102,7 @@
         return self.target.partition(b"?")[0].decode("latin-1")
 
     def header(self, name: bytes) -> bytes | None:
-        """Return the first header of a name in lower case."""
+        """Return the value of the first header with a name, given in lower case; None if none."""
         return find_header(self.headers, name)
 
 
@@ -116,7 +116,7 @@
     _by_name: dict[bytes, bytes] | None = field(default=None, init=False, repr=False, compare=False)
 
     def header(self, name: bytes) -> bytes | None:
-        """Return the first header of a name in lower case.
+        """Return the value of the first header with a name, given in lower case; None if none.
 
         Five headers are looked up in each searcher's reply, and a search has one reply per shard,
         so the lower-case names are computed once.
@@ -128,7 +128,7 @@
 
 
 def find_header(headers: Headers, name: bytes) -> bytes | None:
-    """Return the value of the first header with a lower-case name; None if there is none."""
+    """Return the value of the first header with a name, given in lower case; None if none."""
     for key, value in headers:
         if key.lower() == name:
             return value
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/catalog.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/catalog.py
@@ -191,7 +191,12 @@
         self._removals.seconds = seconds
 
     def tick(self, now: float) -> None:
-        """Remove the searchers whose delay has expired; called a few times a second."""
+        """Apply what is due; called a few times a second.
+
+        Searchers whose removal delay has expired are removed, held searcher updates are applied,
+        lost instances and evacuations that were not written again are removed, and departures that
+        are too old are dropped.
+        """
         for searcher_id in self._removals.due(now):
             self._remove(searcher_id, "delay_over")
         for searcher_id in self._held.due(now):
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/crashreports.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/crashreports.py
@@ -1,4 +1,4 @@
-"""Distributes crash reports, the evidence on requests that crash searchers, to all instances."""
+"""Distributes crash reports, the evidence about requests that crash searchers, to all instances."""
 
 from collections.abc import Mapping, Sequence
 
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/engine.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/engine.py
@@ -66,7 +66,10 @@
 
     @property
     def admitted_rate(self) -> float:
-        """Return the lowest admission rate of all sets of shards and services."""
+        """Return the lowest admission rate, in requests per second; infinite without any limit.
+
+        Each set of shards and each service has its own rate.
+        """
         return self._admission_control.lowest_rate
 
     @property
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/followers.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/followers.py
@@ -59,7 +59,7 @@
     """Manages this instance's entry in the store, and removes those of dead instances."""
 
     def look(self, listed: bool, era: int, now: float) -> bool:
-        """Return whether to write the own entry, for the first time or again."""
+        """Return whether to write this instance's entry, for the first time or again."""
 
     async def join(self) -> None:
         """Write this instance's entry."""
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/peers.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/peers.py
@@ -57,7 +57,7 @@
         role: Decides whether this instance watches the store.
         rng: Source of jitter.
         metrics: The process's metrics.
-        quarantines: The evidence on requests that crash searchers.
+        quarantines: The evidence about requests that crash searchers.
         seeds: IP addresses of instances to connect to before any is known from the store.
     """
 
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/pools.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/pools.py
@@ -9,7 +9,7 @@
 from limpethollow_node.engine.messages import Reply
 
 # A connect takes a round trip and a handshake of about 6 ms. An unreachable searcher never answers;
-# half a second covers a pause of 200 ms with a margin.
+# half a second covers the usual connect and a searcher's pause of 200 ms with a margin.
 CONNECT_TIMEOUT = 0.5
 # A request that must not run twice is sent only on a connection opened or used this recently. An
 # older one may be about to be closed, or its searcher may have become unreachable; then it would be
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/quarantines.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/quarantines.py
@@ -12,7 +12,7 @@
 
 
 class Quarantines:
-    """Collects and shares evidence on requests, and rejects those that are quarantined.
+    """Collects and shares evidence about requests, and rejects those that are quarantined.
 
     Args:
         metrics: The process's metrics.
@@ -20,7 +20,7 @@
 
     Attributes:
         on_reports: Called with new evidence that is to be sent to the other instances.
-        on_quarantined: Called with all evidence on a quarantined request whenever this instance
+        on_quarantined: Called with all evidence about a quarantined request whenever this instance
             added to it.
         on_released: Called with the fingerprint of each request that this instance released from
             quarantine.
@@ -81,7 +81,7 @@
         return self._ledger.reports()
 
     def quarantined_reports(self) -> list[CrashReport]:
-        """Return the evidence on the quarantined requests."""
+        """Return the evidence about the quarantined requests."""
         return [
             CrashReport(name, self._ledger.evidence(name)) for name in self._ledger.quarantined()
         ]
--- a/packages/limpethollow-node/src/limpethollow_node/engine/request/attempts.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/request/attempts.py
@@ -18,11 +18,11 @@
 _HEDGE_RESERVE_FRACTION = 0.25
 # Statuses with which a searcher refuses a request because it is at capacity.
 _FULL_STATUSES = (429, 503)
-# A request that must not run twice is not retried after it may have run.
+# Reason for no retry: the request must not run twice, and it may already have run.
 _MAY_HAVE_RUN = "may_have_run"
-# A request that crashed every searcher it was sent to is not retried.
+# Reason for no retry: the request crashed every searcher that it was sent to.
 _QUARANTINED = "quarantined"
-# A request that may crash searchers waits for its trial elsewhere before it is retried.
+# Reason to wait before a retry: the request may crash searchers, and its trial runs elsewhere.
 _ON_TRIAL_ELSEWHERE = "on_trial_elsewhere"
 
 
--- a/packages/limpethollow-node/src/limpethollow_node/engine/request/batches.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/request/batches.py
@@ -24,8 +24,9 @@
 # Fewer calls than this to a failure domain are made directly, since a pair of frames costs about as
 # much as one call.
 MIN_BATCH_CALLS = 2
-# An instance that returned nothing for a batch until the hedge delay gets no batches for this long.
-# If it is frozen or unreachable, its missing heartbeats are detected within that time.
+# If an instance has returned nothing for a batch when the hedge delay has passed, it gets no
+# batches for this long. If it is frozen or unreachable, its missing heartbeats are detected within
+# that time.
 SUSPECT_SECONDS = 1.5
 # A batch that was delayed on its link by more than this is rejected: searchers must receive no more
 # calls half a second after the caller has disconnected.
--- a/packages/limpethollow-node/src/limpethollow_node/engine/request/replychecks.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/request/replychecks.py
@@ -9,7 +9,7 @@
 
 
 def judge(reply: Reply, names: HeaderNames, request_id: bytes) -> Verdict:
-    """Return the verdict on a request from a complete reply.
+    """Classify a send by its complete reply: answered, failed, not run, and so on.
 
     Args:
         reply: The reply.
@@ -26,7 +26,7 @@
 
 
 def verdict_on_failure(error: Exception, *, sent: bool) -> Verdict:
-    """Return the verdict on a request without a complete reply.
+    """Classify a send without a complete reply: not sent, lost or unknown.
 
     Args:
         error: The error that occurred instead.
--- a/packages/limpethollow-node/src/limpethollow_node/platform/membership.py
+++ b/packages/limpethollow-node/src/limpethollow_node/platform/membership.py
@@ -14,7 +14,8 @@
 from limpethollow_wire.exceptions import Conflict, LimpethollowError, NotFound
 
 KIND = "instances"
-# The list may lack the own object for this long after the write, as updates take time to arrive.
+# The list may lack this instance's object for this long after the write, as updates take time to
+# arrive.
 LISTING_DELAY_SECONDS = 3.0
 # When the store has lost objects, instances spread their rewrites over this time.
 _REWRITE_SPREAD_SECONDS = 1.0
@@ -56,14 +57,14 @@
         self._missing_since: float | None = None
 
     def look(self, listed: bool, era: int, now: float) -> bool:
-        """Return whether to write the own object because it is missing from the store.
+        """Return whether to write this instance's object because it is missing from the store.
 
         It was never written, the store was restored from a copy without it, or another instance
         removed it after a long silence just as this one came back. Until its next start, no peer
         would then link to this instance and no caller would get its address.
 
         Args:
-            listed: Whether the own object is in the newest list.
+            listed: Whether this instance's object is in the newest list.
             era: The store's era of that list.
             now: Monotonic time in seconds.
         """
@@ -89,7 +90,7 @@
         self._retry_pause.end()
 
     async def join(self) -> None:
-        """Write the own object, and retry until that succeeds."""
+        """Write this instance's object, and retry until that succeeds."""
         self._joining = self._joined = True
         delay, self._rewrite_delay = self._rewrite_delay, 0.0
         await asyncio.sleep(delay)
--- a/packages/limpethollow-node/src/limpethollow_node/platform/process.py
+++ b/packages/limpethollow-node/src/limpethollow_node/platform/process.py
@@ -239,8 +239,8 @@
             self._peers.announce()
 
     def _background_jobs(self) -> list:
-        # When the whole system starts for the first time, write the own object at once, so that the
-        # first list of instances is complete.
+        # When the whole system starts for the first time, write this instance's object at once, so
+        # that the first list of instances is complete.
         joining = [self._membership.join()] if self._settings.bootstrap else []
         listeners = [
             (self._front, self._listeners.front),
--- a/packages/limpethollow-node/src/limpethollow_node/platform/quarantines.py
+++ b/packages/limpethollow-node/src/limpethollow_node/platform/quarantines.py
@@ -44,7 +44,7 @@
 
     Args:
         store: The store.
-        quarantines: The evidence on requests that crash searchers.
+        quarantines: The evidence about requests that crash searchers.
         pause: Waits between attempts after a failed call.
         follows: Returns whether this instance currently follows the store.
         first_start: Whether the whole system starts for the first time, so that there is nothing
--- a/packages/limpethollow-policy/src/limpethollow_policy/connection/connection_limits.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/connection/connection_limits.py
@@ -1,4 +1,4 @@
-"""Per-searcher limits on connections and slots of one instance, and connection reuse."""
+"""Limits on one instance's connections and slots at each searcher, and connection reuse."""
 
 from dataclasses import dataclass
 from enum import StrEnum
--- a/packages/limpethollow-policy/src/limpethollow_policy/connection/links.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/connection/links.py
@@ -26,7 +26,7 @@
         self._last_frame_at = now
 
     def is_silent(self, sent_at: float) -> bool:
-        """Return whether no frame was received since a request that timed out was sent.
+        """Return whether no frame has arrived since a request was sent that has timed out.
 
         Args:
             sent_at: Monotonic second at which the request was sent.
--- a/packages/limpethollow-policy/src/limpethollow_policy/connection/searchers.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/connection/searchers.py
@@ -81,7 +81,7 @@
 
     @property
     def has_free_slot(self) -> bool:
-        """Whether another call may be sent."""
+        """Whether a slot is free."""
         return self.in_flight < self.slots
 
     @property
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/callwindows.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/callwindows.py
@@ -16,8 +16,8 @@
 # Weight of the newest call in the average call time.
 _SMOOTHING = 0.2
 _INITIAL_CALL_SECONDS = 0.3
-# Calls that a reduced window allows in addition to the number just answered in time, so that a
-# searcher that answered none still gets calls.
+# Added to the number of calls just answered in time when the window is reduced, so that a searcher
+# that answered none still gets calls. A window below 1 limits the rate of calls.
 _EXTRA_CALLS = 0.5
 
 
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/catchups.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/catchups.py
@@ -5,10 +5,10 @@
 
 from limpethollow_policy.process.revisions import Revision
 
-# Updates usually arrive within milliseconds from the relay in the own failure domain, or from the
-# store at a start. Only what is still missing after this delay is requested: an answer can take
-# 100 kB, and sending it unrequested on each new link caused most of the traffic between failure
-# domains in a rolling restart of 63 instances (57 of 183 MB, and 73 MB for versions).
+# Updates usually arrive within milliseconds from the relay in this instance's failure domain, or
+# from the store at a start. Only what is still missing after this delay is requested: an answer can
+# take 100 kB, and sending it unrequested on each new link caused most of the traffic between
+# failure domains in a rolling restart of 63 instances (57 of 183 MB, and 73 MB for versions).
 CATCH_UP_DELAY_SECONDS = 0.1
 # Time in which a peer must answer before another one is asked.
 ANSWER_TIMEOUT_SECONDS = 0.5
@@ -82,7 +82,7 @@
     """Return the peer to ask now; None if no peer is ahead.
 
     One peer is asked at a time: peers not asked recently come first, and among these the ones in
-    the own failure domain.
+    this instance's failure domain.
     """
     ahead = [source for source in sources if source.known.is_ahead_of(own)]
     return min(
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/crashes.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/crashes.py
@@ -81,7 +81,10 @@
         return CrashEvidence(self.searchers - searchers, self.on_trial - searchers, self.epoch)
 
     def merged(self, other: "CrashEvidence") -> "CrashEvidence":
-        """Return the union of both; searchers on trial take precedence if there are too many."""
+        """Return the union of both if their epochs are equal, otherwise the one of the later epoch.
+
+        At most `_MAX_SEARCHERS` are kept, first those that ran the request on trial.
+        """
         if self.epoch != other.epoch:
             return max(self, other, key=lambda evidence: evidence.epoch)
         on_trial = sorted(self.on_trial | other.on_trial)[:_MAX_SEARCHERS]
@@ -95,7 +98,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CrashReport:
-    """The evidence on one request.
+    """The evidence about one request.
 
     Attributes:
         fingerprint: The request's fingerprint, the same for each repeat.
@@ -108,7 +111,7 @@
 
 @dataclass(slots=True)
 class _Record:
-    """The evidence on one request, with its last change.
+    """The evidence about one request, with its last change.
 
     Attributes:
         evidence: The evidence.
@@ -122,7 +125,7 @@
 
 
 class CrashRecords:
-    """The evidence on all requests, from this instance and from others.
+    """The evidence about all requests, from this instance and from others.
 
     Evidence of the same epoch is merged and never reduced, and a later epoch replaces an earlier
     one. Instances that receive reports in a different order, or twice, therefore reach the same
@@ -135,7 +138,7 @@
         self._records: dict[str, _Record] = {}
 
     def evidence(self, fingerprint: str) -> CrashEvidence:
-        """Return the evidence on a request."""
+        """Return the evidence about a request."""
         record = self._records.get(fingerprint)
         return record.evidence if record is not None else _NO_EVIDENCE
 
@@ -182,7 +185,7 @@
         """Release a request after a searcher answered it, or on an operator's order.
 
         Returns:
-            The report for the other instances; None if there is no evidence on the request.
+            The report for the other instances; None if there is no evidence about the request.
         """
         evidence = self.evidence(fingerprint)
         if not evidence:
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/lifetimes.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/lifetimes.py
@@ -2,8 +2,9 @@
 
 from collections.abc import Collection
 
-# Callers refresh the list after this time when it has just changed: an instance that was just lost
-# may be back, and in a rolling restart the next one follows within a second or two.
+# Cache lifetime of a list that has just changed. It is short because the next change may follow
+# soon: an instance that was just lost may be back, and in a rolling restart the next instance
+# follows within a second or two.
 _MIN_SECONDS = 1.0
 
 
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/objectcaches.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/objectcaches.py
@@ -128,8 +128,8 @@
 
     def _apply(self, put: Mapping[str, T], gone: list[str], revision: Revision) -> None:
         if revision.era != self.revision.era or not self.is_known:
-            # The first list counts as a change even if it is empty: instances without one request
-            # it.
+            # The first list counts as a change even if it is empty, because instances that have no
+            # list yet request it.
             self._steps.clear()
             self.changed_at = revision
             self.begins_era = self.is_known
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/relays.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/relays.py
@@ -53,7 +53,7 @@
         self._jitter = 0.0
 
     def relay_message_received(self, now: float) -> None:
-        """Record a message from a relay of the own failure domain."""
+        """Record a message from a relay of this instance's failure domain."""
         self._last_relay_message_at = now
         self._jitter = self._rng.random() * RELAY_TIMEOUT_SECONDS
 
@@ -97,7 +97,7 @@
         self._partners: list[InstanceInfo] = []
 
     def partner(self, reachable: tuple[InstanceInfo, ...]) -> str | None:
-        """Return the id of the peer to compare with, or None if there is none."""
+        """Return the id of the peer to gossip with next; None if no other instance is reachable."""
         if reachable is not self._last_reachable:
             peers = [instance for instance in reachable if instance.id != self._own_id]
             ordered = owner_order(f"gossip/{self._own_id}", peers)
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/removals.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/removals.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Callable
 
-# When the store comes back from an older copy, the writers of the entries that it lost write them
-# again within two seconds.
+# When the store is restored from an older copy, newer entries are missing. The processes that wrote
+# them write them again within two seconds.
 REWRITE_GRACE_SECONDS = 3.0
 
 
@@ -64,7 +64,7 @@
         Args:
             name: Name of the object.
             now: Current monotonic time in seconds.
-            lost: Whether the object is missing from an older copy that the store came back from,
+            lost: Whether the object is missing because the store was restored from an older copy,
                 so that it may be written again.
         """
         if lost:
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/repeatlimits.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/repeatlimits.py
@@ -113,7 +113,10 @@
         return deadline - min(usual, (deadline - gather.arrived) / 2)
 
     def expected_restart_seconds(self) -> float:
-        """Return the expected duration in seconds of a restart at another snapshot."""
+        """Return the expected time in seconds of a search restarted at another snapshot.
+
+        It is 0 if unknown.
+        """
         return self._latency_threshold() or 0.0
 
     def _latency_threshold(self) -> float | None:
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/revisions.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/revisions.py
@@ -6,11 +6,11 @@
 class Revision(NamedTuple):
     """A revision of the store; later revisions compare greater.
 
-    The store may come back from an older copy of its data. It then begins a new era and assigns
+    The store may be restored from an older copy of its data. It then begins a new era and assigns
     the same revision numbers again, so a number is meaningless without its era.
 
     Attributes:
-        era: How often the store came back from an older copy; 0 if not stated.
+        era: How often the store was restored from an older copy; 0 if not stated.
         number: The store's count of changes; 0 if nothing is known yet.
     """
 
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/shedding.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/shedding.py
@@ -171,7 +171,8 @@
             Whether the rate was cut.
         """
         if started < self._cut_at:
-            # It was admitted at a higher rate, so it is no evidence on the current one.
+            # The request was admitted before the last cut, at a higher rate, so its outcome says
+            # nothing about the current rate.
             return False
         self._ended += 1
         self._congestion += congestion
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/singleshedding.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/singleshedding.py
@@ -21,8 +21,9 @@
 # and only those of the last seconds.
 _RECENT_ANSWERS, _RECENT_SECONDS = 8, 2.0
 _QUEUED_SHARE = 0.5
-# A change of the rate takes effect after this fraction of the requests' objective: usual ones take
-# a quarter of it, and some queue remains.
+# A change of the rate shows its effect after this fraction of the requests' objective: a usual
+# request takes a quarter of the objective, and those admitted right after the change still wait
+# behind the rest of the queue.
 _EFFECT_DELAY_FRACTION = 0.5
 
 
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/topology.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/topology.py
@@ -17,8 +17,8 @@
 HEARTBEAT_SECONDS = 0.5
 # The interval on links between failure domains that carry no calls. With 195 instances, heartbeats
 # were 21 of the 37 MB per minute between failure domains, nearly all on such links. Their
-# information arrives sooner by other ways: changes come from the relay in the own failure domain,
-# and a process that ends closes its links.
+# information arrives sooner by other ways: changes come from the relay in the instance's failure
+# domain, and a process that ends closes its links.
 SLOW_HEARTBEAT_SECONDS = 2.0
 # A relay counts as lost after this many seconds without a heartbeat: two heartbeats are missing.
 # With a longer heartbeat interval, the time is proportionally longer.
--- a/packages/limpethollow-policy/src/limpethollow_policy/request/crash_guards.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/request/crash_guards.py
@@ -16,7 +16,7 @@
 
     Usage:
         if not guard.may_send():
-            guard.wait(resume)              # called once it is allowed, or no send is any more
+            guard.wait(resume)              # called once it is allowed, or once quarantined
         on_trial = guard.begin(searcher, doubtful=False)
         ...
         guard.lost(searcher)                # or answered(), or ended(searcher)
@@ -103,7 +103,7 @@
         )
 
     def wait(self, resume: Callable[[], None]) -> None:
-        """Register a callback for when a send is allowed, or no send is any more."""
+        """Register a callback for when another send is allowed or the request is quarantined."""
         self._waiting.append(resume)
 
     def begin(self, searcher: str, *, doubtful: bool) -> bool:
@@ -128,7 +128,10 @@
         self.ended(searcher)
 
     def ended(self, searcher: str) -> None:
-        """Record that a send ended, or was abandoned, in a way that proves nothing."""
+        """Record that a send ended or was abandoned.
+
+        This alone adds no evidence about whether the request crashes searchers.
+        """
         if searcher == self._trial_searcher:
             self._trial_searcher = None
         self._resume_waiting()
