--- a/packages/limpethollow-node/src/limpethollow_node/engine/frames.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/frames.py
@@ -258,8 +258,8 @@
 )
 
 
-# Frame types by tag, which is the first element of each frame. Converting to the union type instead
-# would resolve its member types on every call.
+# Frame types by tag, which is the first element of each frame. Decoding a frame as the union type
+# instead would resolve the union's member types on every call.
 _FRAME_TYPES: dict[str, type[Frame]] = {
     kind.__struct_config__.tag: kind for kind in get_args(AnyFrame)
 }
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/dispatch.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/dispatch.py
@@ -93,7 +93,7 @@
         self._pool_of(replica).send(call)
 
     def probe(self) -> None:
-        """Try to connect to a searcher; success ends the isolation."""
+        """Try to connect to a searcher; if that succeeds, this instance is no longer isolated."""
         pools = list(self._pools.values())
         if pools:
             self._probe_count += 1
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/failuredetector.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/failuredetector.py
@@ -12,8 +12,9 @@
 # An instance that is listed again, and was silent when removed, counts as silent this long unless
 # it is heard: relays report within that time whether they miss it.
 _RELISTED_SECONDS = 3.0
-# A ready instance that has heard no other for this long lists only itself as live: links are up
-# within a second, even when all instances start together.
+# If a ready instance has had no link to another instance for this long, it lists only itself as
+# live. The time is long enough because links are up within a second, even when all instances start
+# together.
 ALONE_SECONDS = 4.0
 
 
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/peers.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/peers.py
@@ -147,7 +147,11 @@
         self.announce()
 
     def announce(self) -> None:
-        """Send a heartbeat to all linked instances now, since some may have no state yet."""
+        """Send a heartbeat to all linked instances now.
+
+        It lists the revisions known here, so that linked instances that have no state from the
+        store yet can request it.
+        """
         self._heartbeats.send_to(self._links.values())
 
     def leave(self) -> None:
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/roster.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/roster.py
@@ -120,7 +120,7 @@
         return name in self._relisted
 
     def set_silent(self, name: str, silent: bool, now: float) -> None:
-        """Record whether an instance is silent towards its peers."""
+        """Record whether an instance is silent, meaning that its peers receive nothing from it."""
         if silent:
             self._silent.add(name)
             self._silent_since.setdefault(name, now)
@@ -143,7 +143,10 @@
             self._leaving.pop(name, None)
 
     def _reset_state(self, instance: Instance) -> None:
-        """Reset the state of an instance for a process that was not known."""
+        """Reset the state of an instance when it is new or a new process of it has started.
+
+        If this process was silent when it was removed, it counts as silent again.
+        """
         name = instance.name
         self._silent.discard(name)
         self._relisted.discard(name)
--- a/packages/limpethollow-node/src/limpethollow_node/engine/process/stateexchange.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/process/stateexchange.py
@@ -86,7 +86,7 @@
     def _handler_for(
         self, take: Callable[[AnyFrame], bool]
     ) -> Callable[[PeerLink, AnyFrame], None]:
-        """Return a handler that applies updates, and requests all after a gap in the revisions.
+        """Return a handler that applies updates; if earlier ones are missing, it requests them.
 
         Args:
             take: Applies the updates; returns False if the complete list is needed.
--- a/packages/limpethollow-node/src/limpethollow_node/engine/request/attempts.py
+++ b/packages/limpethollow-node/src/limpethollow_node/engine/request/attempts.py
@@ -27,7 +27,7 @@
 
 
 class Carrier(Protocol):
-    """Takes over first sends that can be delegated to another instance in a batch."""
+    """Takes over the first sends of requests if another instance can make them in a batch."""
 
     def offer(self, send: Send) -> bool:
         """Return whether the send is taken over; otherwise it is made directly."""
--- a/packages/limpethollow-node/src/limpethollow_node/platform/settings.py
+++ b/packages/limpethollow-node/src/limpethollow_node/platform/settings.py
@@ -44,7 +44,10 @@
 
 
 class Bounds(msgspec.Struct, frozen=True, rename="camel"):
-    """Bounds that the platform requires the system to keep; times in the unit of the name."""
+    """Bounds that the platform requires the system to keep.
+
+    The suffix of a field's name gives its unit of time.
+    """
 
     drain_ms: float = 3000
     grace_s: float = 6
--- a/packages/limpethollow-node/src/limpethollow_node/process/configs.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/configs.py
@@ -135,7 +135,7 @@
         raise UnknownService(f"Service '{service}' does not exist.")
 
     def admit(self, service: str) -> ServiceRecord:
-        """Return the record of a service for new work.
+        """Return the record of a service, after checking that this instance may accept new work.
 
         Raises:
             UnknownService: The service was deleted or never existed.
--- a/packages/limpethollow-node/src/limpethollow_node/process/garbage.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/garbage.py
@@ -9,7 +9,8 @@
 _THRESHOLD_1, _THRESHOLD_2 = 10, 10
 # Net allocations that make a collection between requests worthwhile: about those of one search.
 _MIN_YOUNG_OBJECTS = 500
-# Collections of generation 0 after which a collection between requests includes generation 1.
+# Number of generation 0 collections after which the next collection between requests also includes
+# generation 1.
 _COLLECTIONS_PER_GENERATION_1 = 16
 
 
@@ -18,7 +19,7 @@
 
     Otherwise the collection starts at whichever allocation reaches the threshold of 10,000 objects,
     most often within a search. On 0.12 of a core, 3 of 59 searches were paused for 24 to 33 ms
-    without this function and none with it (measured in a test run with timers added to the code).
+    without this function and none with it.
 
     Args:
         busy: Whether a request is in progress.
--- a/packages/limpethollow-node/src/limpethollow_node/process/members.py
+++ b/packages/limpethollow-node/src/limpethollow_node/process/members.py
@@ -124,7 +124,12 @@
             self._view.answered(instance_id, time.monotonic())
 
     def asked(self, instance_id: str, relay: bool) -> None:
-        """Record a request from another instance, sent as the relay of this one or not."""
+        """Record a request from another instance.
+
+        Args:
+            instance_id: The other instance.
+            relay: Whether it sent the request as a relay for this instance's failure domain.
+        """
         now = time.monotonic()
         with self._lock:
             self._view.asked(instance_id, now)
--- a/packages/limpethollow-policy/src/limpethollow_policy/connection/drains.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/connection/drains.py
@@ -57,7 +57,9 @@
         return self.configured or self._latest.draining or self._listed_at is not None
 
     def said(self, draining: bool, reported_at: float) -> bool:
-        """Process the searcher's report, from its own reply or from another instance's notice.
+        """Process a report of whether the searcher is draining.
+
+        It comes from the searcher's own reply or from another instance's notice.
 
         Returns:
             Whether the reported state changed, so that other instances should be notified.
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/admissions_queues.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/admissions_queues.py
@@ -16,7 +16,11 @@
 
 
 def admission_policy(name: str) -> Callable[[type["AdmissionQueue"]], type["AdmissionQueue"]]:
-    """Register an admission queue under the name that configurations use."""
+    """Return a decorator that registers an admission queue class.
+
+    Args:
+        name: The name that configurations use.
+    """
 
     def register(kind: type["AdmissionQueue"]) -> type["AdmissionQueue"]:
         _POLICIES[name] = kind
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/callwindows.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/callwindows.py
@@ -87,8 +87,9 @@
             in_flight: Other calls in flight to the searcher.
             now: Monotonic time in seconds.
         """
-        # The call would have taken even longer. An average with earlier, quick calls would allow
-        # four times the rate that the searcher can handle.
+        # Use at least this duration as the call time: the call would have taken even longer.
+        # Averaging it with earlier, quick calls would allow four times the rate that the searcher
+        # can handle.
         self._call_seconds = max(self._call_seconds, seconds)
         # Calls sent before the last reduction say nothing about the window after it.
         if now - seconds < self._reduced_at:
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/departures.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/departures.py
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True, frozen=True)
 class _Departure:
-    """A searcher as it was when it left, and the monotonic time of that in seconds."""
+    """A searcher as it was when it left, and the monotonic time in seconds when it left."""
 
     searcher: Searcher
     at: float
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/removals.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/removals.py
@@ -42,7 +42,7 @@
 
 
 class DelayedRemover:
-    """Removes deleted objects at once, and objects that the store may have lost after a delay.
+    """Removes deleted objects at once, and only after a delay those that the store may have lost.
 
     Args:
         remove: Called with the name of each object to remove.
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/schedulers.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/schedulers.py
@@ -210,7 +210,7 @@
         return self._outbox.drain()
 
     def _advance(self, gather: Gather, now: float) -> None:
-        """Advance one search as far as possible without another call."""
+        """Advance one search as far as possible without sending another call to a searcher."""
         if not gather.is_pinned:
             if not self._pin(gather, now):
                 return
--- a/packages/limpethollow-policy/src/limpethollow_policy/process/shutdowns.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/process/shutdowns.py
@@ -62,7 +62,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RefuseTokens:
-    """Refuse booking tokens that were not seen before as not run."""
+    """Refuse booking tokens that were not seen before, and report those bookings as not run."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -105,7 +105,7 @@
 
 
 class RouteHoldTracker:
-    """Tracks how long callers may hold instances' addresses from route answers given here."""
+    """Tracks how long callers may keep using the addresses in this instance's route answers."""
 
     __slots__ = ("_until",)
 
--- a/packages/limpethollow-policy/src/limpethollow_policy/request/booking_placements.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/request/booking_placements.py
@@ -53,7 +53,7 @@
         return placement
 
     def holders(self, service: str, placement: str, shard: int) -> tuple[SearcherSpec, ...]:
-        """Return all searchers that may run a token; empty if the placement is unknown."""
+        """Return all searchers that may run a token's booking; empty for an unknown placement."""
         searchers = self._kept.get(service, OrderedDict()).get(placement, ())
         return tuple(searcher for searcher in searchers if shard in searcher.shards)
 
--- a/packages/limpethollow-policy/src/limpethollow_policy/request/bookings.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/request/bookings.py
@@ -198,7 +198,10 @@
         return seconds_to_next_period(now - self._started)
 
     def seconds_kept(self, token: BookingToken, now: float) -> float:
-        """Return how many seconds the entry of this token is kept, if memory allows."""
+        """Return for how many more seconds the entry of this token is kept.
+
+        It may be dropped earlier if memory runs short.
+        """
         periods = token.period + KEPT_PERIODS - period_at(now - self._started)
         return max(0.0, self.retry_after(now) + (periods - 1) * PERIOD_SECONDS)
 
--- a/packages/limpethollow-policy/src/limpethollow_policy/request/parts.py
+++ b/packages/limpethollow-policy/src/limpethollow_policy/request/parts.py
@@ -77,5 +77,5 @@
         return list(self._signature_by_shard.values())
 
     def merged(self) -> bytes:
-        """Return the highest records of all parts as one body."""
+        """Return the highest-ranked records of all parts, compared as bytes, as one body."""
         return merge_records([*self._single.values(), *self._groups], self._top)
