--- a/packages/limpethollow-wire/src/limpethollow_wire/services.py
+++ b/packages/limpethollow-wire/src/limpethollow_wire/services.py
@@ -177,7 +177,7 @@
             (all(c.share > 0 for c in self.callers), "'share' must be above 0"),
             (
                 set(self.evacuated) <= self.failure_domains,
-                "'evacuated' may only contain failure domains of its searchers",
+                "'evacuated' must name failure domains of its searchers only",
             ),
         ]
 
